--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
@@ -73,10 +73,10 @@
                 CLOUD_SECONDS,
             )
         except CallError as exc:
-            state.counters.orders.labels(f'{name} failed').inc()
+            state.counters.duty_calls.labels(f'{name} failed').inc()
             logger.warning('The cloud did not answer %s: %s', name, exc.reason)
             return 0
-        state.counters.orders.labels(f'{name} {reply.status}').inc()
+        state.counters.duty_calls.labels(f'{name} {reply.status}').inc()
         logger.info(
             'The cloud answered %s with %s: %s',
             name,
@@ -198,7 +198,7 @@
         if first is not None:
             return first
         state = self._state
-        state.learn_report(state.own_report(), state.timers.now())
+        state.apply_report(state.own_report(), state.timers.now())
         known = [
             window
             for windows in state.fleet.usage.by_entry.values()
@@ -208,7 +208,7 @@
 
     async def _record_window(self, window: int) -> None:
         state = self._state
-        state.learn_report(state.own_report(), state.timers.now())
+        state.apply_report(state.own_report(), state.timers.now())
         windows = dict(self._record.windows)
         windows[window] = state.fleet.usage.total(window)
         kept = sorted(windows)[-RECORDED_WINDOWS:]
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -192,9 +192,9 @@
             case StoreQuestion():
                 self._asked.set()
             case ResignMessage():
-                self._state.note_vacant(message.epoch)
+                self._state.record_vacant_home(message.epoch)
             case QuarantineMessage():
-                self._state.crashes.learn_quarantined(message.quarantined, now)
+                self._state.crashes.merge_quarantined(message.quarantined, now)
             case SuccessorMessage():
                 self._state.follow_home(message.home, now)
 
@@ -203,7 +203,7 @@
         epoch = self._state.home.epoch
         while True:
             await self._asked.wait()
-            if await self._sync.reaches_store():
+            if await self._sync.check_store():
                 await link.send(encode(StoreReached(epoch)))
             self._asked = anyio.Event()
 
@@ -266,7 +266,7 @@
         table = self._tables.pop()
         self._table.apply(table, sent_at)
         now = state.timers.now()
-        state.learn_given(table.given, report, now)
+        state.apply_given(table.given, report, now)
 
     async def _tell_load(self, link: ClientConnection) -> None:
         """Tell the home what runs here whenever it has changed."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
@@ -36,14 +36,14 @@
         """Take over a table that answers a report sent at a time."""
         state = self._state
         now = state.timers.now()
-        state.home_heard_at = now
+        state.home_answered_at = now
         state.home_resigned = table.resigned
-        state.learn_size(table.entries)
+        state.set_entry_count(table.entries)
         self.report_after = table.report_after
-        state.learn_speeds(table.speeds)
+        state.set_prefill_speeds(table.speeds)
         state.needs = table.needs
         if table.configuration is not None:
-            self._sync.configuration.learn(
+            self._sync.configuration.apply_reported(
                 unpack(table.configuration),
                 sent_at - table.proof_age,
             )
@@ -78,6 +78,6 @@
         if part.is_change:
             change = DirectoryChange(part.rows, part.removed)
             rows = self._state.directory.with_change(change)
-        self._sync.learn_upstreams(part.revision, rows, listed_at)
+        self._sync.apply_listing(part.revision, rows, listed_at)
         if part.is_change:
             self._state.directory.compare(part.digest)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -126,7 +126,7 @@
                 book = self._state.grant_book
                 book.learn(message.entry, message.load, now)
             case WatchedRun():
-                self._state.crashes.note_run(message, now)
+                self._state.crashes.record_run(message, now)
             case WordsReport():
                 learn_words(self._state, message.words)
             case _:
@@ -159,7 +159,7 @@
         now: float,
     ) -> bytes | None:
         crashes = self._state.crashes
-        crashes.learn_report(report, now)
+        crashes.apply_report(report, now)
         if not report.is_first:
             return None
         return encode(QuarantineMessage(crashes.quarantined(now)))
@@ -181,8 +181,8 @@
     def _table(self, message: ReportMessage, now: float) -> TableMessage:
         state = self._state
         report = message.report
-        state.learn_report(report, now)
-        state.learn_report(state.own_report(), now)
+        state.apply_report(report, now)
+        state.apply_report(state.own_report(), now)
         load = EntryLoad(report.running, report.prefill, message.seen)
         period = state.fleet.period(now)
         state.grant_book.learn(report.key, load, now)
@@ -205,7 +205,7 @@
             true_time=state.true_time.at(now),
             speeds=state.fleet.speeds(),
             needs=state.needs,
-            given=state.give_units(report.key, now),
+            given=state.allocate_units(report.key, now),
             resigned=not state.is_home(now),
             configuration=self._configuration(message),
             upstreams=self._upstreams(message),
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -31,7 +31,7 @@
     StoreRestoredError,
 )
 from spanfall_node.gateway.store.stored_record import decode_record
-from spanfall_node.gateway.store.sync import old_proof
+from spanfall_node.gateway.store.sync import max_confirmation_age
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.tables.tenure import Tenure, home_key
 
@@ -76,7 +76,7 @@
                 await self._step()
             except LeaseLostError:
                 self._lay_down('the lease has ended')
-                self._state.look_now.set()
+                self._state.lookup_requested.set()
             except StoreError as exc:
                 logger.info('Could not look up the home: %r', exc)
             await self._wait(self._pause())
@@ -85,9 +85,9 @@
         """Wait for some seconds, or until there is a reason to look."""
         state = self._state
         with anyio.move_on_after(seconds):
-            await state.look_now.wait()
-        if state.look_now.is_set():
-            state.look_now = anyio.Event()
+            await state.lookup_requested.wait()
+        if state.lookup_requested.is_set():
+            state.lookup_requested = anyio.Event()
 
     async def resign(self) -> None:
         """Give the record up, so that another node takes over at once.
@@ -132,9 +132,9 @@
         now = state.timers.now()
         entries = state.quotas.entries
         silence = max(LEASE_SECONDS, unheard_after(report_period(entries)))
-        if now - state.home_heard_at > silence:
+        if now - state.home_answered_at > silence:
             return True
-        age = max(LEASE_SECONDS, old_proof(entries))
+        age = max(LEASE_SECONDS, max_confirmation_age(entries))
         return state.freshness.age(now) > age
 
     async def _renew(self, tenure: Tenure) -> None:
@@ -151,12 +151,12 @@
             return
         except StoreError:
             now = self._state.timers.now()
-            tenure.is_cut = now - tenure.renewed_at > CUT_SECONDS
+            tenure.is_renewal_failing = now - tenure.renewed_at > CUT_SECONDS
             raise
         if tenure.resigned:
             # Handed over meanwhile: what was renewed is not held any more.
             return
-        tenure.is_cut = False
+        tenure.is_renewal_failing = False
         tenure.renewed_at = sent_at
         tenure.valid_until = self._valid_until(sent_at)
 
@@ -168,7 +168,7 @@
         """
         if self._state.timers.now() >= tenure.valid_until:
             raise LeaseLostError
-        await self._records.read_again()
+        await self._records.reload()
         claim = await self._claim(0)
         if claim is None:
             raise LeaseLostError
@@ -183,7 +183,7 @@
         item = await self._store.get(home_key(timeline))
         if self._store.timeline != timeline:
             # That was the record of an earlier timeline.
-            self._state.look_now.set()
+            self._state.lookup_requested.set()
             return
         if item is None:
             await self._take_free_record()
@@ -264,7 +264,7 @@
         await self._records.crashes.read()
         claim = await self._claim(known)
         if claim is None:
-            state.look_now.set()
+            state.lookup_requested.set()
             return
         state.shared_levels = shared_levels
         gives_at = state.timers.now() + gives_after
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/lost_home.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/lost_home.py
@@ -25,7 +25,11 @@
         """
         now = self._state.timers.now()
         is_due = now - self._tried_at >= LAST_HOME_PERIOD
-        if self.last is not None and is_due and not self._sync.hears_store:
+        if (
+            self.last is not None
+            and is_due
+            and not self._sync.is_store_reachable
+        ):
             self._tried_at = now
             # Nothing was heard of it yet: the look for another goes on.
             self._state.follow_home(self.last, float('-inf'))
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
@@ -36,7 +36,7 @@
         valid_until=valid_until,
         renewed_at=claim.sent_at,
         began_at=began_at,
-        gives_at=max(began_at, gives_at),
+        allocates_from=max(began_at, gives_at),
         is_first=claim.is_first,
     )
     state.home_resigned = False
@@ -51,11 +51,11 @@
         lease=claim.lease,
         valid_until=valid_until,
         renewed_at=claim.sent_at,
-        is_cut=False,
+        is_renewal_failing=False,
     )
     _note_own_record(state, claim)
 
 
 def _note_own_record(state: GatewayState, claim: Claim) -> None:
-    state.note_home(claim.home)
+    state.set_home(claim.home)
     logger.info('This node is the home now, epoch %s', claim.epoch)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/succession.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/succession.py
@@ -79,7 +79,7 @@
         tenure = self._state.tenure
         if tenure is None or tenure.epoch != epoch:
             return None
-        if not tenure.is_cut or tenure.resigned:
+        if not tenure.is_renewal_failing or tenure.resigned:
             return None
         logger.warning('This node hands the home over: the store is away')
         tenure.resign()
@@ -91,7 +91,7 @@
             await self._tell_successor()
         elif tenure.resigned:
             await self._tell_some(ResignMessage(tenure.epoch))
-        elif tenure.is_cut:
+        elif tenure.is_renewal_failing:
             await self._tell_some(StoreQuestion(tenure.epoch))
         else:
             self._asked.clear()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
@@ -11,13 +11,13 @@
     """Tell a home all that is known here, then each new word at once."""
     words = state.words
     now = state.timers.now()
-    words.untold = {}
+    words.unreported = {}
     known = words.table.words_since(0, now)
     if known:
         await link.send(encode(WordsReport(known)))
     while True:
-        heard = words.heard
-        if not words.untold:
+        heard = words.has_unreported
+        if not words.unreported:
             await heard.wait()
-        untold = words.take_untold(state.timers.now())
+        untold = words.take_unreported(state.timers.now())
         await link.send(encode(WordsReport(untold)))
--- a/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
@@ -22,16 +22,16 @@
 
 #: Seconds after the signal for which a stopping node still listens: the
 #: balancer takes a node out after two questions, one a second.
-LEAST_STOP_SECONDS = 3.5
+MIN_STOP_SECONDS = 3.5
 #: Seconds before the end of the grace at which what still runs is cut.
-STOP_MARGIN = 0.7
+STOP_MARGIN_SECONDS = 0.7
 #: Seconds between two looks at what still runs.
-LOOK_PERIOD = 0.1
+POLL_SECONDS = 0.1
 
 _TEXT: Headers = [(b'content-type', b'text/plain; charset=utf-8')]
 
 
-class StatusPages:
+class StatusServer:
     """Answer the balancer's questions and requests for metrics."""
 
     def __init__(self, state: GatewayState) -> None:
@@ -54,11 +54,11 @@
             if req is None:
                 return
             await caller.read_body()
-            await self._answer(caller, req)
+            await self._respond(caller, req)
             if not caller.start_next():
                 return
 
-    async def _answer(
+    async def _respond(
         self,
         caller: CallerConnection,
         req: CallerRequest,
@@ -93,8 +93,12 @@
 
 
 async def _finish(state: GatewayState, callers: Callers) -> None:
-    end = state.draining_since + state.cfg.bounds.stop_seconds - STOP_MARGIN
-    await anyio.sleep(LEAST_STOP_SECONDS)
+    end = (
+        state.draining_since
+        + state.cfg.bounds.stop_seconds
+        - STOP_MARGIN_SECONDS
+    )
+    await anyio.sleep(MIN_STOP_SECONDS)
     while state.open_requests and state.timers.now() < end:
-        await anyio.sleep(LOOK_PERIOD)
+        await anyio.sleep(POLL_SECONDS)
     await callers.close_idle()
--- a/packages/spanfall-node/src/spanfall_node/gateway/main.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/main.py
@@ -8,7 +8,7 @@
 
 from spanfall_node.gateway.program import run_gateway
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 @click.command()
@@ -26,6 +26,6 @@
         cfg = read_settings(path)
     except GatewaySettingsError as exc:
         click.echo(f'settings: {exc}', err=True)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     if not check:
         run_gateway(cfg, path)
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
@@ -23,25 +23,25 @@
 from spanfall_node.gateway.net.sockets import (
     READ_BYTES,
     SOCKET_ERRORS,
-    end_when_unreachable,
+    enable_keepalive,
 )
 
 logger = logging.getLogger(__name__)
 
 #: Most bytes of an answer's head.
-HEAD_BYTES = 65536
+MAX_HEAD_BYTES = 65536
 #: Bodies of at least this size are sent while the answer is awaited, since
 #: a server may answer before it has read all.
-LARGE_BODY = 32768
+LARGE_BODY_BYTES = 32768
 #: Seconds that a connection is kept idle where the server names no time.
-IDLE_SECONDS = 10.0
+DEFAULT_IDLE_SECONDS = 10.0
 #: Part of the idle time that a server names after which we close first.
-IDLE_PART = 0.7
+IDLE_FRACTION = 0.7
 _KEEP_ALIVE = re.compile(rb'timeout=(\d+)')
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Hold the status and headers of an answer."""
 
     status: int
@@ -60,13 +60,13 @@
     stream: ByteStream
     address: str
     protocol: h11.Connection = field(
-        default_factory=lambda: h11.Connection(h11.CLIENT, HEAD_BYTES),
+        default_factory=lambda: h11.Connection(h11.CLIENT, MAX_HEAD_BYTES),
     )
-    idle_seconds: float = IDLE_SECONDS
+    idle_seconds: float = DEFAULT_IDLE_SECONDS
     #: Whether the answer just read lets the connection be used again.
     reusable: bool = False
     is_closed: bool = False
-    _sent: h11.Request | None = None
+    _sent_request: h11.Request | None = None
     _body_sent: bool = True
 
     async def send(self, call: HttpCall, host: str) -> None:
@@ -78,12 +78,12 @@
         request = h11.Request(
             method=call.method,
             target=call.target,
-            headers=_framed(call, host),
+            headers=_framed_headers(call, host),
         )
         head = self.protocol.send(request)
         body = self.protocol.send(h11.Data(data=call.body))
         end = self.protocol.send(h11.EndOfMessage())
-        self._sent = request
+        self._sent_request = request
         self._body_sent = False
         await self._write(b''.join((head, body, end)))
         self._body_sent = True
@@ -92,8 +92,8 @@
         self,
         call: HttpCall,
         host: str,
-        is_ours: Callable[[AnswerHead], bool],
-    ) -> AnswerHead:
+        is_matching: Callable[[ResponseHead], bool],
+    ) -> ResponseHead:
         """Send a request and return the head of its answer.
 
         A server may answer before it has read a large body; what it has not
@@ -102,14 +102,14 @@
         Raises:
             BrokenCallError: the answer did not come; the request may run.
         """
-        if len(call.body) < LARGE_BODY:
+        if len(call.body) < LARGE_BODY_BYTES:
             await self.send(call, host)
-            return await self.read_head(is_ours)
-        ends: list[AnswerHead | BrokenCallError] = []
+            return await self.read_head(is_matching)
+        ends: list[ResponseHead | BrokenCallError] = []
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._send_quietly, call, host)
+            tasks.start_soon(self._send_logging_errors, call, host)
             try:
-                ends.append(await self.read_head(is_ours))
+                ends.append(await self.read_head(is_matching))
             except BrokenCallError as exc:
                 ends.append(exc)
             tasks.cancel_scope.cancel()
@@ -117,7 +117,7 @@
             raise ends[0]
         return ends[0]
 
-    async def _send_quietly(self, call: HttpCall, host: str) -> None:
+    async def _send_logging_errors(self, call: HttpCall, host: str) -> None:
         """Send; a failure shows in the answer, or in that none comes."""
         try:
             await self.send(call, host)
@@ -126,8 +126,8 @@
 
     async def read_head(
         self,
-        is_ours: Callable[[AnswerHead], bool],
-    ) -> AnswerHead:
+        is_matching: Callable[[ResponseHead], bool],
+    ) -> ResponseHead:
         """Return the head of the answer to the request just sent.
 
         An answer to an earlier request is read to its end and dropped.
@@ -139,21 +139,21 @@
             event = await self._next_event()
             if not isinstance(event, h11.Response):
                 continue
-            head = AnswerHead(
+            head = ResponseHead(
                 event.status_code,
                 bytes(event.reason),
                 list(event.headers),
             )
-            if is_ours(head):
-                self._note_keep_alive(head)
+            if is_matching(head):
+                self._record_keep_alive(head)
                 return head
             logger.warning(
                 'Dropped an answer that belongs to another request from %s',
                 self.address,
             )
-            await self._skip_answer()
+            await self._skip_response()
 
-    async def read_part(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """Return the next bytes of the body, or None at its proper end.
 
         Raises:
@@ -162,7 +162,7 @@
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
-        self._finish()
+        self._finish_response()
         return None
 
     async def read_body(self, most: int) -> bytes:
@@ -174,7 +174,7 @@
         parts: list[bytes] = []
         size = 0
         while True:
-            part = await self.read_part()
+            part = await self.read_chunk()
             if part is None:
                 return b''.join(parts)
             parts.append(part)
@@ -197,7 +197,7 @@
             except SOCKET_ERRORS:
                 return
 
-    async def ends_within(self, seconds: float) -> bool:
+    async def closes_within(self, seconds: float) -> bool:
         """Tell whether the server closes a connection that it just took."""
         with anyio.move_on_after(seconds):
             try:
@@ -211,26 +211,26 @@
         self.protocol.start_next_cycle()
         self.reusable = False
 
-    async def _skip_answer(self) -> None:
+    async def _skip_response(self) -> None:
         while True:
             event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
                 break
         rest, closed = self.protocol.trailing_data
-        fresh = h11.Connection(h11.CLIENT, HEAD_BYTES)
-        fresh.send(self._sent)
+        new_protocol = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
+        new_protocol.send(self._sent_request)
         if closed:
             raise BrokenCallError('closed after the answer to another request')
         if rest:
-            fresh.receive_data(rest)
-        self.protocol = fresh
+            new_protocol.receive_data(rest)
+        self.protocol = new_protocol
 
-    def _note_keep_alive(self, head: AnswerHead) -> None:
+    def _record_keep_alive(self, head: ResponseHead) -> None:
         found = _KEEP_ALIVE.search(head.header(b'keep-alive'))
         if found:
-            self.idle_seconds = int(found.group(1)) * IDLE_PART
+            self.idle_seconds = int(found.group(1)) * IDLE_FRACTION
 
-    def _finish(self) -> None:
+    def _finish_response(self) -> None:
         rest, closed = self.protocol.trailing_data
         clean = not rest and not closed and self._body_sent
         done = self.protocol.our_state is h11.DONE
@@ -243,10 +243,10 @@
             except h11.RemoteProtocolError as exc:
                 raise BrokenCallError(f'not an answer: {exc}') from exc
             if event is not h11.NEED_DATA:
-                return self._checked(event)
+                return self._check_event(event)
             await self._receive()
 
-    def _checked(self, event: object) -> h11.Event:
+    def _check_event(self, event: object) -> h11.Event:
         if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
             raise BrokenCallError('closed without an answer')
         return event
@@ -267,7 +267,7 @@
             raise BrokenCallError('reset while sending') from exc
 
 
-def _framed(call: HttpCall, host: str) -> Headers:
+def _framed_headers(call: HttpCall, host: str) -> Headers:
     headers = list(call.headers)
     if not any(name == b'host' for name, _ in headers):
         headers.insert(0, (b'host', host.encode()))
@@ -291,5 +291,5 @@
         if isinstance(exc.__cause__, ConnectionRefusedError):
             raise NobodyListensError('nobody listens there') from exc
         raise NotSentError(f'no connection: {type(exc).__name__}') from exc
-    end_when_unreachable(stream)
+    enable_keepalive(stream)
     return Connection(stream, address)
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/logs.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/logs.py
@@ -14,7 +14,7 @@
 _FIELDS = '%(asctime)s %(levelname)s %(name)s %(message)s'
 
 
-class LineBudget(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Leave out lines beyond a number a second."""
 
     def __init__(
@@ -26,11 +26,11 @@
         """Count by the seconds of a steady clock."""
         super().__init__()
         self._clock = clock
-        self._most = lines_per_second
-        self._counter = dropped
+        self._max_lines = lines_per_second
+        self._dropped_counter = dropped
         self._second = 0
         self._written = 0
-        self._left_out = 0
+        self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Keep a line within the budget; errors are always kept."""
@@ -39,20 +39,20 @@
             self._second = second
             self._written = 0
         self._written += 1
-        if self._written > self._most and record.levelno < logging.ERROR:
-            self._left_out += 1
-            self._counter.inc()
+        if self._written > self._max_lines and record.levelno < logging.ERROR:
+            self._dropped += 1
+            self._dropped_counter.inc()
             return False
-        if self._left_out:
-            record.left_out = self._left_out
-            self._left_out = 0
+        if self._dropped:
+            record.left_out = self._dropped
+            self._dropped = 0
         return True
 
 
-def set_up_logging(budget: LineBudget, node: str) -> None:
+def set_up_logging(rate_limiter: LogRateLimiter, node: str) -> None:
     """Send the log of this node to standard output."""
     handler = logging.StreamHandler(sys.stdout)
-    handler.addFilter(budget)
+    handler.addFilter(rate_limiter)
     handler.setFormatter(JsonFormatter(_FIELDS, static_fields={'node': node}))
     logging.basicConfig(
         level=logging.INFO,
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/pool.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/pool.py
@@ -35,11 +35,16 @@
 
     def open_connections(self, key: str) -> set[Connection]:
         """Return the connections to a server's lifetime that are open."""
-        idle = {row.conn for row in self._idle.get(key, ())}
+        idle = {idle_conn.conn for idle_conn in self._idle.get(key, ())}
         known = idle | self._in_use.get(key, set())
         return {conn for conn in known if not conn.is_closed}
 
-    async def take(self, key: str, address: str, timeout: float) -> Connection:
+    async def acquire(
+        self,
+        key: str,
+        address: str,
+        timeout: float,
+    ) -> Connection:
         """Return an idle connection of a server's lifetime or a new one.
 
         Raises:
@@ -47,18 +52,18 @@
         """
         idle = self._idle.get(key, [])
         while idle:
-            row = idle.pop()
-            await row.stop_watching()
-            if not row.conn.is_closed:
-                row.conn.start_next()
-                return self._used(key, row.conn)
-        return self._used(key, await connect(address, timeout))
-
-    def _used(self, key: str, conn: Connection) -> Connection:
+            idle_conn = idle.pop()
+            await idle_conn.stop_watching()
+            if not idle_conn.conn.is_closed:
+                idle_conn.conn.start_next()
+                return self._mark_in_use(key, idle_conn.conn)
+        return self._mark_in_use(key, await connect(address, timeout))
+
+    def _mark_in_use(self, key: str, conn: Connection) -> Connection:
         self._in_use.setdefault(key, set()).add(conn)
         return conn
 
-    async def give_back(self, key: str, conn: Connection) -> None:
+    async def release(self, key: str, conn: Connection) -> None:
         """Keep a connection for another request, or close it."""
         in_use = self._in_use.get(key, set())
         in_use.discard(conn)
@@ -67,22 +72,22 @@
         if not conn.reusable or conn.is_closed:
             await conn.close()
             return
-        row = IdleConnection(conn)
-        self._idle.setdefault(key, []).append(row)
-        self._tasks.start_soon(self._watch, key, row)
+        idle_conn = IdleConnection(conn)
+        self._idle.setdefault(key, []).append(idle_conn)
+        self._tasks.start_soon(self._watch, key, idle_conn)
 
-    async def _watch(self, key: str, row: IdleConnection) -> None:
+    async def _watch(self, key: str, idle_conn: IdleConnection) -> None:
         try:
-            with row.scope:
-                await row.conn.watch_idle()
+            with idle_conn.scope:
+                await idle_conn.conn.watch_idle()
         finally:
-            row.watched.set()
-        if row.scope.cancelled_caught:
+            idle_conn.watched.set()
+        if idle_conn.scope.cancelled_caught:
             return
         rows = self._idle.get(key, [])
-        if row in rows:
-            rows.remove(row)
-        await row.conn.close()
+        if idle_conn in rows:
+            rows.remove(idle_conn)
+        await idle_conn.conn.close()
 
 
 async def call_once(
@@ -98,7 +103,7 @@
         NotSentError: the call had no effect.
         BrokenCallError: the call may have had an effect.
     """
-    conn = await pool.take(address, address, timeout)
+    conn = await pool.acquire(address, address, timeout)
     try:
         with anyio.fail_after(timeout):
             await conn.send(call, address)
@@ -111,5 +116,5 @@
         await conn.close()
         raise
     finally:
-        await pool.give_back(address, conn)
+        await pool.release(address, conn)
     return HttpReply(head.status, head.headers, body)
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/sockets.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/sockets.py
@@ -14,13 +14,13 @@
 #: Milliseconds after which bytes that nobody acknowledges end a connection:
 #: before a caller gives up on a stream that pauses (4 s at the users'), and
 #: long enough for a lossy link and for a server that is slow to read.
-UNACKNOWLEDGED_MS = 3000
+TCP_USER_TIMEOUT_MS = 3000
 #: Seconds of silence after which the other end is probed, and seconds between
 #: two probes. A host without power says nothing; only this shows it.
-PROBE_AFTER_SECONDS = 1
-PROBE_PERIOD_SECONDS = 1
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
 #: Probes without an answer that end a connection.
-MOST_PROBES = 2
+MAX_KEEPALIVE_PROBES = 2
 
 #: What a socket raises when its connection is over.
 SOCKET_ERRORS = (
@@ -30,17 +30,17 @@
     OSError,
 )
 
-_PROBES = (
+_SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_SECONDS),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_PERIOD_SECONDS),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MOST_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
 )
 
 
-def end_when_unreachable(stream: SocketStream) -> None:
+def enable_keepalive(stream: SocketStream) -> None:
     """Let the system end a connection whose other end cannot be reached."""
     raw = stream.extra(SocketAttribute.raw_socket)
-    for level, option, setting in _PROBES:
+    for level, option, setting in _SOCKET_OPTIONS:
         raw.setsockopt(level, option, setting)
--- a/packages/spanfall-node/src/spanfall_node/gateway/program.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/program.py
@@ -18,9 +18,9 @@
 from spanfall_node.gateway.home.entry_link import EntryLink
 from spanfall_node.gateway.home.home_links import HomeLinks
 from spanfall_node.gateway.home.leadership import Leadership
-from spanfall_node.gateway.lifecycle import StatusPages, stop_on_signal
+from spanfall_node.gateway.lifecycle import StatusServer, stop_on_signal
 from spanfall_node.gateway.limits.unit_requests import UnitRequests
-from spanfall_node.gateway.net.logs import LineBudget, set_up_logging
+from spanfall_node.gateway.net.logs import LogRateLimiter, set_up_logging
 from spanfall_node.gateway.net.pool import ConnectionPool
 from spanfall_node.gateway.net.ports import PlatformAdapter
 from spanfall_node.gateway.net.sockets import BACKLOG
@@ -61,12 +61,12 @@
         timers,
         secrets.token_hex(INCARNATION_BYTES),
     )
-    budget = LineBudget(
+    rate_limiter = LogRateLimiter(
         timers.now,
         cfg.log_lines_per_second,
         state.counters.dropped_logs,
     )
-    set_up_logging(budget, cfg.node)
+    set_up_logging(rate_limiter, cfg.node)
     options = {'loop_factory': SteadyLoop}
     anyio.run(_run, state, path, backend_options=options)
 
@@ -129,7 +129,7 @@
     if state.cfg.orders_upstreams:
         parts.append(CapacityDuty(state, cloud).run)
     for part in parts:
-        tasks.start_soon(_keep_running, part)
+        tasks.start_soon(_restart_on_failure, part)
     return Gateway(state, callers, leadership)
 
 
@@ -139,14 +139,14 @@
     tasks: TaskGroup,
 ) -> None:
     listen = state.cfg.listen
-    pages = StatusPages(state)
-    tasks.start_soon(_listen, listen.readiness, pages)
+    status_server = StatusServer(state)
+    tasks.start_soon(_listen, listen.readiness, status_server)
     if listen.metrics:
-        tasks.start_soon(_listen, listen.metrics, pages)
+        tasks.start_soon(_listen, listen.metrics, status_server)
     tasks.start_soon(_listen, listen.callers, callers)
 
 
-async def _keep_running(part: Callable[[], Awaitable[None]]) -> None:
+async def _restart_on_failure(part: Callable[[], Awaitable[None]]) -> None:
     """Start a part again when it fails, so that the node goes on."""
     while True:
         try:
@@ -156,7 +156,7 @@
         await anyio.sleep(RESTART_SECONDS)
 
 
-async def _listen(address: str, server: Callers | StatusPages) -> None:
+async def _listen(address: str, server: Callers | StatusServer) -> None:
     host, _, port = address.rpartition(':')
     listener = await anyio.create_tcp_listener(
         local_host=host,
--- a/packages/spanfall-node/src/spanfall_node/gateway/settings_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/settings_watch.py
@@ -15,7 +15,7 @@
 logger = logging.getLogger(__name__)
 
 #: Seconds between two looks at the file.
-LOOK_PERIOD = 2.0
+POLL_SECONDS = 2.0
 
 
 class SettingsWatch:
@@ -29,12 +29,12 @@
     async def run(self) -> None:
         """Look at the file from time to time and at each SIGHUP."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._on_signal)
+            tasks.start_soon(self._reload_on_signal)
             while True:
-                await anyio.sleep(LOOK_PERIOD)
+                await anyio.sleep(POLL_SECONDS)
                 self._reload()
 
-    async def _on_signal(self) -> None:
+    async def _reload_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
             async for _ in signals:
                 logger.info('SIGHUP: reading the settings again')
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
@@ -25,7 +25,7 @@
         #: Revision of the item as it was last read; 0: never.
         self._read_revision = 0
         #: Timeline of the store on which the operator was seen to write.
-        self._written_on: int | None = None
+        self._written_timeline: int | None = None
         #: Version last read that is older than the one in force.
         self._older_version: int | None = None
 
@@ -47,22 +47,22 @@
                 state.freshness.prove(began_at)
             return
         version = state.version
-        if not self._take_over(item.content):
+        if not self._apply(item.content):
             return
-        self._note_writing(item, is_newer=state.version > version)
+        self._record_operator_write(item, is_newer=state.version > version)
         if self._is_complete(began_at):
             state.freshness.prove(began_at)
 
-    def learn(self, source: bytes, proved_at: float) -> None:
+    def apply_reported(self, source: bytes, proved_at: float) -> None:
         """Take over a configuration that was proved the newest at a time.
 
         Raises:
             InvalidRecordError: it is none.
         """
-        if self._take_over(source):
+        if self._apply(source):
             self._state.freshness.prove(proved_at)
 
-    def _take_over(self, source: bytes) -> bool:
+    def _apply(self, source: bytes) -> bool:
         """Use a configuration; tell whether its version is no older one.
 
         Only the operator's version tells which one is newer: the store may
@@ -74,7 +74,7 @@
             return True
         read = state.platform.read_configuration(source)
         if known is not None and read.version < known.version:
-            self._note_older(read.version, known.version)
+            self._log_older(read.version, known.version)
             return False
         state.configuration = read
         state.configuration_source = source
@@ -85,7 +85,7 @@
         )
         return True
 
-    def _note_older(self, version: int, known: int) -> None:
+    def _log_older(self, version: int, known: int) -> None:
         if version != self._older_version:
             logger.warning(
                 'Left out configuration %s, which is older than %s',
@@ -94,12 +94,17 @@
             )
         self._older_version = version
 
-    def _note_writing(self, item: StoredItem, *, is_newer: bool) -> None:
+    def _record_operator_write(
+        self,
+        item: StoredItem,
+        *,
+        is_newer: bool,
+    ) -> None:
         """Note the timeline if the operator has written the item on it."""
         number = revision_of(item.revision)
         before = revision_of(self._read_revision)
         if is_newer or before not in {0, number}:
-            self._written_on = timeline_of(item.revision)
+            self._written_timeline = timeline_of(item.revision)
         self._read_revision = item.revision
 
     def _is_complete(self, began_at: float) -> bool:
@@ -109,6 +114,6 @@
         until the operator has written it again.
         """
         store = self._store
-        if not store.was_restored or self._written_on == store.timeline:
+        if not store.was_restored or self._written_timeline == store.timeline:
             return True
         return began_at - store.timeline_since >= WRITTEN_AGAIN_SECONDS
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/crash_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/crash_record.py
@@ -22,7 +22,7 @@
 #: Key of the record.
 CRASHES_KEY = 'spanfall/crashes'
 #: Seconds between two looks at whether the record is old.
-LOOK_PERIOD = 0.25
+POLL_SECONDS = 0.25
 #: Seconds between two reads of an entry that does not hear the home: with the
 #: home's write this stays under the three seconds for which platforms bear
 #: that not all know; 570 entries make 285 calls a second.
@@ -61,27 +61,27 @@
             return
         self._written = frozenset(content.quarantined)
         now = self._state.timers.now()
-        self._state.crashes.learn_quarantined(content.quarantined, now)
+        self._state.crashes.merge_quarantined(content.quarantined, now)
 
     async def run(self) -> None:
         """Write it as the home, read it without one, until cancelled."""
         while True:
-            with anyio.move_on_after(LOOK_PERIOD):
+            with anyio.move_on_after(POLL_SECONDS):
                 await self._state.crashes.changed.wait()
             now = self._state.timers.now()
             try:
-                await self._keep(now)
+                await self._sync_record(now)
             except StoreError as exc:
                 logger.info('Could not keep the record of crashes: %r', exc)
-                await anyio.sleep(LOOK_PERIOD)
+                await anyio.sleep(POLL_SECONDS)
 
-    async def _keep(self, now: float) -> None:
+    async def _sync_record(self, now: float) -> None:
         if self._state.is_home(now):
-            await self._write_if_old(now)
-        elif self._is_alone(now) and now - self._read_at >= READ_PERIOD:
+            await self._write_if_outdated(now)
+        elif self._is_standalone(now) and now - self._read_at >= READ_PERIOD:
             await self.read()
 
-    async def _write_if_old(self, now: float) -> None:
+    async def _write_if_outdated(self, now: float) -> None:
         quarantined = self._state.crashes.quarantined(now)
         if self._written == quarantined.keys():
             return
@@ -90,10 +90,10 @@
         await self._store.write_as_home(self._state.tenure, write)
         self._written = frozenset(quarantined)
 
-    def _is_alone(self, now: float) -> bool:
+    def _is_standalone(self, now: float) -> bool:
         """Tell whether no home tells this node of quarantines."""
         state = self._state
         if state.tenure is not None:
             return False
         silence = unheard_after(report_period(state.quotas.entries))
-        return state.home is None or now - state.home_heard_at > silence
+        return state.home is None or now - state.home_answered_at > silence
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/home_records.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/home_records.py
@@ -15,7 +15,7 @@
     needs: NeedsRecord
     crashes: CrashRecord
 
-    async def read_again(self) -> None:
+    async def reload(self) -> None:
         """Learn what the store holds, to write anew what it has lost.
 
         Raises:
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/needs_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/needs_record.py
@@ -22,11 +22,11 @@
 NEEDS_KEY = 'spanfall/needs'
 #: Seconds between two looks at whether the record is old: a call in five
 #: seconds or so, where the load changes.
-LOOK_PERIOD = 1.0
+POLL_SECONDS = 1.0
 #: Part by which a need differs from the record that is written anew, and the
 #: upstreams that it differs by at least.
-CHANGED_PART = 0.15
-CHANGED_LEAST = 0.5
+CHANGED_FRACTION = 0.15
+MIN_CHANGE = 0.5
 
 
 class NeedsContent(msgspec.Struct, frozen=True):
@@ -67,16 +67,16 @@
     async def run(self) -> None:
         """Write the record when it is old, until cancelled."""
         while True:
-            await anyio.sleep(LOOK_PERIOD)
+            await anyio.sleep(POLL_SECONDS)
             now = self._state.timers.now()
-            if self._state.is_home(now) and self._is_old():
+            if self._state.is_home(now) and self._is_outdated():
                 await self._write()
 
-    def _is_old(self) -> bool:
+    def _is_outdated(self) -> bool:
         needs = self._state.needs
         return any(
             abs(need - self._written.get(service, 0))
-            > max(CHANGED_LEAST, CHANGED_PART * need)
+            > max(MIN_CHANGE, CHANGED_FRACTION * need)
             for service, need in needs.items()
         )
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
@@ -29,9 +29,9 @@
 #: spent so much since the last one that it is written sooner: what is spent
 #: after the last record is what may run twice once all nodes are killed.
 RECORD_PERIOD = 1.0
-LOOK_PERIOD = 0.25
+POLL_SECONDS = 0.25
 #: Part of a limit that is so much: half of the part that platforms tolerate.
-SOON_PART = 0.05
+EARLY_WRITE_FRACTION = 0.05
 
 
 class SpendingRecord(msgspec.Struct, frozen=True):
@@ -77,34 +77,39 @@
     async def run(self) -> None:
         """Write the record while it is needed, until cancelled."""
         while True:
-            await anyio.sleep(LOOK_PERIOD)
+            await anyio.sleep(POLL_SECONDS)
             now = self._state.timers.now()
             if self._state.is_home(now):
                 await self._write_if_due(now)
 
     async def _write_if_due(self, now: float) -> None:
-        pressed = self._state.pressed(now)
-        if not pressed and not self._written:
+        to_record = self._state.spending_to_record(now)
+        if not to_record and not self._written:
             return
-        is_old = now - self._written_at >= RECORD_PERIOD
-        if is_old or self._is_soon(_sums(pressed), now):
-            await self._write(pressed, now)
+        is_due = now - self._written_at >= RECORD_PERIOD
+        if is_due or self._is_early_due(_sums(to_record), now):
+            await self._write(to_record, now)
 
-    def _is_soon(self, sums: dict[str, float], now: float) -> bool:
+    def _is_early_due(self, sums: dict[str, float], now: float) -> bool:
         """Tell whether a workspace spent much since the last record."""
         limits = self._state.limits_at(now)
         written = self._written or {}
-        known = {
+        recorded = {
             workspace: written.get(workspace, limit.total * RECORDED_PART)
             for workspace, limit in limits.items()
         }
         return any(
-            units - known[workspace] > limits[workspace].total * SOON_PART
+            units - recorded[workspace]
+            > limits[workspace].total * EARLY_WRITE_FRACTION
             for workspace, units in sums.items()
         )
 
-    async def _write(self, pressed: dict[str, list[float]], now: float) -> None:
-        record = SpendingRecord(pressed)
+    async def _write(
+        self,
+        to_record: dict[str, list[float]],
+        now: float,
+    ) -> None:
+        record = SpendingRecord(to_record)
         write = Write(SPENDING_KEY, msgspec.json.encode(record))
         self._written_at = now
         try:
@@ -112,7 +117,7 @@
         except StoreError as exc:
             logger.info('Could not record the spending: %r', exc)
             return
-        self._written = _sums(pressed)
+        self._written = _sums(to_record)
 
 
 def _sums(spent: dict[str, list[float]]) -> dict[str, float]:
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
@@ -31,7 +31,7 @@
 
 #: Seconds that a call may take; the store answers in milliseconds, and
 #: fifty times as slowly on a bad day.
-CALL_SECONDS = 1.2
+CALL_TIMEOUT_SECONDS = 1.2
 
 Content = TypeVar('Content')
 
@@ -67,7 +67,7 @@
     failing: bool = False
     outage_ended: float = float('-inf')
 
-    def note(self, answered: bool, now: float) -> None:
+    def record(self, answered: bool, now: float) -> None:
         """Note the end of a call."""
         if answered and self.failing:
             self.outage_ended = now
@@ -102,7 +102,7 @@
         reply = await self._call(self._dialect.get(key), missing_ok=True)
         if reply.status == 404:
             return None
-        return self._placed(_read(self._dialect.read_item, reply))
+        return self._with_timeline(_read(self._dialect.read_item, reply))
 
     async def list_items(self, prefix: str) -> Listing:
         """Return all items below a prefix, page by page.
@@ -119,7 +119,7 @@
             if self.timeline != first:
                 raise StoreRestoredError
             items.extend(page.items)
-        return Listing(tuple(map(self._placed, items)), revision)
+        return Listing(tuple(map(self._with_timeline, items)), revision)
 
     async def write_as_home(
         self,
@@ -177,7 +177,7 @@
         self,
         timeline: int,
         lease: int,
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> None:
         """Renew a lease that was given out on a timeline.
 
@@ -204,7 +204,7 @@
         call = self._dialect.revoke(lease)
         await self._call(call, missing_ok=True, timeline=timeline)
 
-    def _placed(self, item: StoredItem) -> StoredItem:
+    def _with_timeline(self, item: StoredItem) -> StoredItem:
         """Return an item just read, its revision with the timeline."""
         revision = on_timeline(self.timeline, item.revision)
         return replace(item, revision=revision)
@@ -218,7 +218,7 @@
         call: HttpCall,
         *,
         missing_ok: bool = False,
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
         timeline: int | None = None,
     ) -> HttpReply:
         """Make a call; one for a timeline fails if the store is on another."""
@@ -230,20 +230,20 @@
             reply = await call_once(self._pool, address, call, seconds)
         except NotSentError as exc:
             counter.labels('not-sent').inc()
-            self.health.note(answered=False, now=now())
+            self.health.record(answered=False, now=now())
             raise StoreRefusedError(exc.reason) from exc
         except BrokenCallError as exc:
             counter.labels('uncertain').inc()
-            self.health.note(answered=False, now=now())
+            self.health.record(answered=False, now=now())
             raise StoreUncertainError(exc.reason) from exc
         counter.labels(reply.status).inc()
-        self._note_timeline(reply)
+        self._record_timeline(reply)
         allowed = {200, 404, 412} if missing_ok else {200}
         if reply.status in {429, 503}:
-            self.health.note(answered=False, now=now())
+            self.health.record(answered=False, now=now())
         if reply.status not in allowed:
             raise StoreRefusedError(f'the store answered {reply.status}')
-        self.health.note(answered=True, now=now())
+        self.health.record(answered=True, now=now())
         self._check_timeline(timeline)
         return reply
 
@@ -251,7 +251,7 @@
         if wanted is not None and wanted != self.timeline:
             raise StoreRestoredError
 
-    def _note_timeline(self, reply: HttpReply) -> None:
+    def _record_timeline(self, reply: HttpReply) -> None:
         """Note the timeline of an answer.
 
         Raises:
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
@@ -24,23 +24,23 @@
 READ_PERIOD = 0.6
 #: Age of the newest proof, of the configuration or of the upstreams, at which
 #: a node reads the store itself.
-OLD_PROOF = 1.1
+MAX_CONFIRMATION_AGE = 1.1
 #: Seconds that a healthy home's word takes beyond the two periods: its read,
 #: and the ways between data centres.
-PROOF_SLACK = 0.25
+CONFIRMATION_SLACK = 0.25
 #: Entries that read the store at the full pace when they are on their own;
 #: each of a larger fleet reads more rarely, since calls are limited and paid.
-FULL_PACE_ENTRIES = 25
+FULL_RATE_ENTRIES = 25
 #: Longest time between two reads of such an entry, while the store answers
 #: and while it does not.
-LONGEST_READ_PERIOD = 1.2
-LONGEST_OUTAGE_PERIOD = 2.0
+MAX_READ_PERIOD = 1.2
+MAX_OUTAGE_READ_PERIOD = 2.0
 #: Seconds for which a node that starts leaves the store to the home: a link
 #: and a table take some hundredths, and 195 nodes that restart in turn made
 #: two calls each that told them the same. After a restart of all nobody tells
 #: anything so soon, and callers wait for as long.
-START_SECONDS = 0.06
-START_STEP = 0.01
+STARTUP_WAIT_SECONDS = 0.06
+STARTUP_POLL_SECONDS = 0.01
 #: End of the last outage where there was none.
 NO_OUTAGE = float('-inf')
 
@@ -49,14 +49,17 @@
     """Return the seconds between two reads of a node in such a fleet."""
     if is_home:
         return READ_PERIOD
-    longest = LONGEST_OUTAGE_PERIOD if failing else LONGEST_READ_PERIOD
-    paced = READ_PERIOD * entries / FULL_PACE_ENTRIES
-    return min(longest, max(READ_PERIOD, paced))
+    max_period = MAX_OUTAGE_READ_PERIOD if failing else MAX_READ_PERIOD
+    scaled = READ_PERIOD * entries / FULL_RATE_ENTRIES
+    return min(max_period, max(READ_PERIOD, scaled))
 
 
-def old_proof(entries: int) -> float:
+def max_confirmation_age(entries: int) -> float:
     """Return the age at which a proof is older than a healthy home's."""
-    return max(OLD_PROOF, READ_PERIOD + report_period(entries) + PROOF_SLACK)
+    return max(
+        MAX_CONFIRMATION_AGE,
+        READ_PERIOD + report_period(entries) + CONFIRMATION_SLACK,
+    )
 
 
 class Sync:
@@ -76,14 +79,14 @@
 
     async def run(self) -> None:
         """Read the store as often as this node has to, until cancelled."""
-        with anyio.move_on_after(START_SECONDS):
-            await self._until_first_table()
+        with anyio.move_on_after(STARTUP_WAIT_SECONDS):
+            await self._wait_for_first_table()
         while True:
             if self._must_read():
                 await self.read_all()
-            await anyio.sleep(self._period())
+            await anyio.sleep(self._read_period())
 
-    async def _until_first_table(self) -> None:
+    async def _wait_for_first_table(self) -> None:
         """Wait until the home has told all, or cannot be reached.
 
         A node that is the home itself has nobody to wait for.
@@ -92,10 +95,10 @@
         while state.home is None:
             await state.home_changed.wait()
         home = state.home
-        while self._waits_for(home):
-            await anyio.sleep(START_STEP)
+        while self._is_awaiting(home):
+            await anyio.sleep(STARTUP_POLL_SECONDS)
 
-    def _waits_for(self, home: HomeRecord) -> bool:
+    def _is_awaiting(self, home: HomeRecord) -> bool:
         """Tell whether a home that is another node is still to tell all."""
         state = self._state
         if state.tenure is not None or state.home is not home:
@@ -106,25 +109,25 @@
         """Read the configuration and the upstreams once."""
         if self._store.health.failing:
             # One call tells whether the store is back.
-            await self._guarded_configuration()
+            await self._try_read_configuration()
             if not self._store.health.failing:
-                await self._guarded_upstreams()
+                await self._try_read_upstreams()
             return
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._guarded_configuration)
-            tasks.start_soon(self._guarded_upstreams)
+            tasks.start_soon(self._try_read_configuration)
+            tasks.start_soon(self._try_read_upstreams)
 
     @property
-    def hears_store(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Tell whether the store answered the last call."""
         return not self._store.health.failing
 
-    async def reaches_store(self) -> bool:
+    async def check_store(self) -> bool:
         """Tell whether the store answers this node now."""
-        await self._guarded_configuration()
-        return self.hears_store
+        await self._try_read_configuration()
+        return self.is_store_reachable
 
-    def learn_upstreams(
+    def apply_listing(
         self,
         revision: int,
         rows: list[ListedUpstream],
@@ -161,7 +164,7 @@
             self._state.loads.forget(lifetime)
             self._state.words.forget(lifetime, now)
 
-    def _period(self) -> float:
+    def _read_period(self) -> float:
         return read_period(
             self._state.quotas.entries,
             is_home=self._state.tenure is not None,
@@ -174,9 +177,9 @@
             return True
         proved_at = min(state.freshness.proved_at, state.directory.proved_at)
         age = state.timers.now() - proved_at
-        return age > old_proof(state.quotas.entries)
+        return age > max_confirmation_age(state.quotas.entries)
 
-    async def _guarded_configuration(self) -> None:
+    async def _try_read_configuration(self) -> None:
         try:
             await self.configuration.read()
         except StoreError as exc:
@@ -184,7 +187,7 @@
         except InvalidRecordError:
             logger.exception('The configuration in the store is not valid')
 
-    async def _guarded_upstreams(self) -> None:
+    async def _try_read_upstreams(self) -> None:
         try:
             await self._read_upstreams()
         except StoreError as exc:
@@ -195,8 +198,8 @@
         began_at = state.timers.now()
         prefix = state.platform.store.upstream_prefix
         listing = await self._store.list_items(prefix)
-        rows, unusable = self._sort_out(listing.items)
-        self.learn_upstreams(
+        rows, unusable = self._parse_entries(listing.items)
+        self.apply_listing(
             listing.revision,
             rows,
             began_at,
@@ -204,7 +207,7 @@
             unusable,
         )
 
-    def _sort_out(
+    def _parse_entries(
         self,
         items: tuple[StoredItem, ...],
     ) -> tuple[list[ListedUpstream], set[str]]:
@@ -215,13 +218,13 @@
             entry = self._state.platform.read_upstream(item.key, item.content)
             if isinstance(entry, UnusableEntry):
                 unusable[entry.upstream_id] = item.revision
-                self._note_unusable(entry, item.revision)
+                self._report_unusable(entry, item.revision)
             else:
                 rows.append(entry)
         self._unusable = unusable
         return rows, set(unusable)
 
-    def _note_unusable(self, entry: UnusableEntry, revision: int) -> None:
+    def _report_unusable(self, entry: UnusableEntry, revision: int) -> None:
         """Log and count an entry once for each change of it."""
         if self._unusable.get(entry.upstream_id) == revision:
             return
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/counters.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/counters.py
@@ -64,7 +64,7 @@
             'What upstreams newly said of themselves in answers, by kind',
             News,
         )
-        self.cuts = self._labelled(
+        self.cut_answers = self._labelled(
             'spanfall_cut_answers',
             'Answers that ended early, by reason',
             'reason',
@@ -79,7 +79,7 @@
             'Restores of the store from a copy that answers told of',
             registry=self.registry,
         )
-        self.orders = self._labelled(
+        self.duty_calls = self._labelled(
             'spanfall_duty_calls',
             'Calls made for the whole fleet, by duty and status',
             'call',
@@ -89,7 +89,7 @@
             'Entries of the list of upstreams that name none to use',
             registry=self.registry,
         )
-        self.unexamined = Counter(
+        self.unexamined_requests = Counter(
             'spanfall_unexamined_requests',
             'Requests without an answer whose upstream was not examined',
             registry=self.registry,
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -34,11 +34,11 @@
 #: Most requests of which an entry tells a new home what ended under them, the
 #: newest: 16 KB, measured with two ends each; 570 entries fill a link of
 #: 1,000 Mbit/s for 0.07 s with that.
-MOST_REPORTED = 256
+MAX_REPORTED_REQUESTS = 256
 
 
 @dataclass(slots=True)
-class CrashKnowledge:
+class CrashState:
     """Hold ends of upstreams, what is quarantined and, as home, the trials."""
 
     table: CrashTable = field(default_factory=CrashTable)
@@ -46,13 +46,13 @@
     #: Set, and replaced, as another request is quarantined.
     changed: anyio.Event = field(default_factory=anyio.Event)
     #: Set while it is open whether some upstreams have ended.
-    doubted: anyio.Event = field(default_factory=anyio.Event)
+    has_suspected_crashes: anyio.Event = field(default_factory=anyio.Event)
 
     def standing(self, identity: RequestIdentity, now: float) -> Standing:
         """Tell how a request may be sent, for all that is known here."""
         return self.table.standing(identity, now)
 
-    def note_end(
+    def record_crash(
         self,
         identity: RequestIdentity,
         lifetime: Lifetime,
@@ -61,9 +61,9 @@
         """Note that an upstream ended under a request."""
         self.trials.end(identity, now)
         if self.table.note_end(identity, lifetime, now):
-            self._tell_quarantined(identity, lifetime)
+            self._report_quarantine(identity, lifetime)
 
-    def note_doubt(
+    def record_suspected_crash(
         self,
         identity: RequestIdentity,
         lifetime: Lifetime,
@@ -75,11 +75,11 @@
         self.trials.end(identity, now)
         table = self.table
         if table.note_doubt(identity, lifetime, now, is_strong=is_strong):
-            self._tell_quarantined(identity, lifetime)
+            self._report_quarantine(identity, lifetime)
         if table.doubts:
-            self.doubted.set()
+            self.has_suspected_crashes.set()
 
-    def settle(
+    def resolve_suspected_crashes(
         self,
         directory: Directory,
         heartbeat: float,
@@ -91,11 +91,11 @@
             self.table.absolve(lifetime)
         for ended in settled.ended:
             for identity in self.table.confirm(ended, now):
-                self._tell_quarantined(identity, ended)
+                self._report_quarantine(identity, ended)
         if not self.table.doubts:
-            self.doubted = anyio.Event()
+            self.has_suspected_crashes = anyio.Event()
 
-    def note_run(self, run: WatchedRun, now: float) -> None:
+    def record_run(self, run: WatchedRun, now: float) -> None:
         """Note how far a watched run has come."""
         if run.stage is RunStage.BEGAN:
             self.trials.end(run.identity, now + SETTLED_SECONDS)
@@ -104,17 +104,22 @@
         if run.stage is RunStage.WHOLE:
             self.table.clear(run.identity)
 
-    def learn_report(self, report: CrashReport, now: float) -> None:
+    def apply_report(self, report: CrashReport, now: float) -> None:
         """Take over, as the home, what an entry knows."""
-        self.learn_quarantined(report.quarantined, now)
+        self.merge_quarantined(report.quarantined, now)
         for identity, lifetimes in report.ends.items():
             for lifetime in lifetimes:
-                self.note_end(identity, lifetime, now)
-        for doubtful, rows in report.doubts.items():
-            for doubted, is_strong in rows.items():
-                self.note_doubt(doubtful, doubted, now, is_strong=is_strong)
-
-    def learn_quarantined(self, others: Quarantined, now: float) -> None:
+                self.record_crash(identity, lifetime, now)
+        for suspect, rows in report.doubts.items():
+            for suspected, is_strong in rows.items():
+                self.record_suspected_crash(
+                    suspect,
+                    suspected,
+                    now,
+                    is_strong=is_strong,
+                )
+
+    def merge_quarantined(self, others: Quarantined, now: float) -> None:
         """Take over what another node quarantined."""
         new = others.keys() - self.table.quarantined.keys()
         for identity in new:
@@ -124,16 +129,18 @@
                 identity,
             )
         if new:
-            self._tell()
+            self._notify_changed()
 
     def report(self, now: float) -> CrashReport:
         """Return what is known here, for a new home."""
-        newest = dict(islice(reversed(self.table.ends.items()), MOST_REPORTED))
+        newest = dict(
+            islice(reversed(self.table.ends.items()), MAX_REPORTED_REQUESTS),
+        )
         doubts = self.table.doubts
         ends = {
             key: tuple(rows - doubts.keys()) for key, rows in newest.items()
         }
-        open_ends = {
+        suspected = {
             key: {one: doubts[one].is_strong for one in rows & doubts.keys()}
             for key, rows in newest.items()
         }
@@ -141,7 +148,7 @@
             ends,
             self.quarantined(now),
             is_first=True,
-            doubts=open_ends,
+            doubts=suspected,
         )
 
     def quarantined(self, now: float) -> Quarantined:
@@ -149,7 +156,7 @@
         rows = self.table.quarantined.items()
         return {key: until - now for key, until in rows if until > now}
 
-    def _tell_quarantined(
+    def _report_quarantine(
         self,
         identity: RequestIdentity,
         lifetime: Lifetime,
@@ -160,8 +167,8 @@
             identity,
             lifetime,
         )
-        self._tell()
+        self._notify_changed()
 
-    def _tell(self) -> None:
+    def _notify_changed(self) -> None:
         self.changed.set()
         self.changed = anyio.Event()
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/new_state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/new_state.py
@@ -11,7 +11,7 @@
 from spanfall_node.gateway.net.ports import PlatformAdapter
 from spanfall_node.gateway.tables.counters import Counters
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.tables.upstream_words import UpstreamWords
+from spanfall_node.gateway.tables.upstream_words import UpstreamStatements
 from spanfall_node.timers import Timers
 
 
@@ -22,7 +22,7 @@
     incarnation: str,
 ) -> GatewayState:
     """Build the empty tables of a node that has just started."""
-    words = UpstreamWords()
+    words = UpstreamStatements()
     state = GatewayState(
         cfg=cfg,
         platform=platform,
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -35,9 +35,9 @@
 )
 from spanfall_node.gateway.net.ports import PlatformAdapter
 from spanfall_node.gateway.tables.counters import Counters
-from spanfall_node.gateway.tables.crash_knowledge import CrashKnowledge
-from spanfall_node.gateway.tables.tenure import Tenure, is_giver
-from spanfall_node.gateway.tables.upstream_words import UpstreamWords
+from spanfall_node.gateway.tables.crash_knowledge import CrashState
+from spanfall_node.gateway.tables.tenure import Tenure, can_allocate
+from spanfall_node.gateway.tables.upstream_words import UpstreamStatements
 from spanfall_node.timers import Timers
 
 logger = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
     usage: UsageCounts
     true_time: TrueTime
     #: What upstreams say of themselves, and the list of them, which heeds it.
-    words: UpstreamWords
+    words: UpstreamStatements
     directory: Directory
     configuration: ServedConfiguration | None = None
     #: The configuration as the store holds it, to be passed on.
@@ -68,8 +68,8 @@
     prompts: PromptHistory = field(default_factory=PromptHistory)
     granted_prompts: PromptHistory = field(default_factory=PromptHistory)
     fleet: FleetState = field(default_factory=FleetState)
-    crashes: CrashKnowledge = field(default_factory=CrashKnowledge)
-    limits_in_force: LimitsInForce = field(default_factory=LimitsInForce)
+    crashes: CrashState = field(default_factory=CrashState)
+    effective_limits: LimitsInForce = field(default_factory=LimitsInForce)
     shared_levels: SharedLevels = field(default_factory=SharedLevels)
     #: As the home: what runs everywhere.
     grant_book: GrantBook = field(default_factory=GrantBook)
@@ -84,9 +84,9 @@
     #: replaced at once.
     vacant_epoch: int = 0
     #: Set to look the home up at once.
-    look_now: anyio.Event = field(default_factory=anyio.Event)
+    lookup_requested: anyio.Event = field(default_factory=anyio.Event)
     #: When the home last answered.
-    home_heard_at: float = float('-inf')
+    home_answered_at: float = float('-inf')
     #: Work of reading that was sent to upstreams, by service, in tokens.
     read_work: Counts = field(default_factory=dict)
     #: What requests here showed of the speed of reading.
@@ -131,12 +131,12 @@
         prefill = dict(+self.loads.prefill)
         return EntryLoad(dict(self.loads.running), prefill, seen)
 
-    def note_read_work(self, service: str, prefill: int) -> None:
+    def record_prefill_work(self, service: str, prefill: int) -> None:
         """Count the work of reading of a request that is sent."""
         known = self.read_work.get(service, 0)
         self.read_work[service] = known + round(reading_work(prefill))
 
-    def note_first_token(
+    def record_first_token(
         self,
         service: str,
         prefill: int,
@@ -145,25 +145,25 @@
         """Learn from a prompt that nothing else waited before."""
         work = reading_work(prefill)
         known = self.prompts.speed(service)
-        believed = bounded_seconds(seconds, known.seconds(work))
+        clamped = bounded_seconds(seconds, known.seconds(work))
         sums = self.reading.setdefault(service, ReadingSums())
-        sums.add(work, believed)
+        sums.add(work, clamped)
 
-    def learn_speeds(self, speeds: dict[str, ReadingSpeed]) -> None:
+    def set_prefill_speeds(self, speeds: dict[str, ReadingSpeed]) -> None:
         """Follow what the home learned of the speed of reading."""
         self.prompts.speeds = speeds
         self.granted_prompts.speeds = speeds
 
-    def learn_size(self, entries: int) -> None:
+    def set_entry_count(self, entries: int) -> None:
         """Share limits and retries with so many entries."""
         self.quotas.entries = entries
         self.retries.entries = entries
 
-    def learn_own_load(self, now: float) -> None:
+    def record_own_load(self, now: float) -> None:
         """Count what runs here, as the home that also serves callers."""
         self.grant_book.learn(self.entry_key, self.own_load(0), now)
 
-    def learn_report(self, report: EntryReport, now: float) -> None:
+    def apply_report(self, report: EntryReport, now: float) -> None:
         """Take over the report of an entry as the home."""
         self.fleet.learn(report, now)
         self.shared_levels.learn(
@@ -179,13 +179,13 @@
         is_known = self.shared_levels.knows(self.entry_key)
         return self.report(to_new_home=not is_known)
 
-    def give_units(self, entry: str, now: float) -> GivenUnits | None:
+    def allocate_units(self, entry: str, now: float) -> GivenUnits | None:
         """Return what an entry may spend, or None if this is not the home.
 
         Only the holder of the lease gives units, so no two homes give the
         same ones.
         """
-        if not is_giver(self.tenure, now):
+        if not can_allocate(self.tenure, now):
             return None
         return self.shared_levels.give(entry, self.limits_at(now), now)
 
@@ -197,12 +197,12 @@
         now: float,
     ) -> float:
         """Return the units that an entry gets besides, 0 if there are none."""
-        if not is_giver(self.tenure, now):
+        if not can_allocate(self.tenure, now):
             return 0
         limits = self.limits_at(now)
         return self.shared_levels.lend(entry, workspace, units, limits, now)
 
-    def learn_given(
+    def apply_given(
         self,
         given: GivenUnits | None,
         report: EntryReport,
@@ -221,37 +221,37 @@
         if known is not None and home.epoch <= known.epoch:
             return
         logger.info('The home is %s, epoch %s', home.node, home.epoch)
-        self.note_home(home)
-        self.home_heard_at = now
+        self.set_home(home)
+        self.home_answered_at = now
         self.home_resigned = False
         self.tenure = None
 
-    def note_home(self, home: HomeRecord | None) -> None:
+    def set_home(self, home: HomeRecord | None) -> None:
         """Take a node as the home, or none, and wake who waits for that."""
         self.home = home
         self.home_changed.set()
         self.home_changed = anyio.Event()
-        self.note_load()
+        self.notify_load_changed()
 
-    def note_load(self) -> None:
+    def notify_load_changed(self) -> None:
         """Wake who waits for a change of what runs here."""
         self.load_changed.set()
         self.load_changed = anyio.Event()
 
-    def note_vacant(self, epoch: int) -> None:
+    def record_vacant_home(self, epoch: int) -> None:
         """Note that a home acts no more, and look for another at once."""
         self.vacant_epoch = max(self.vacant_epoch, epoch)
         self.home_resigned = True
-        self.look_now.set()
+        self.lookup_requested.set()
 
     def lose_home(self) -> None:
         """Go on alone: nobody tells what the other entries do."""
-        self.note_home(None)
+        self.set_home(None)
         now = self.timers.now()
         self.quotas.go_alone(self.limits_at(now), now)
         self.loads.forget_others()
 
-    def pressed(self, now: float) -> dict[str, list[float]]:
+    def spending_to_record(self, now: float) -> dict[str, list[float]]:
         """Return what workspaces spent that use much of their limits."""
         return self.shared_levels.pressed(self.limits_at(now), now)
 
@@ -261,7 +261,7 @@
             return {}
         window = self.cfg.bounds.quota_window_seconds
         configured = self.configuration.quotas(window)
-        return self.limits_in_force.at(configured, now)
+        return self.effective_limits.at(configured, now)
 
     def report(self, *, to_new_home: bool = True) -> EntryReport:
         """Return what the home is to know of this entry."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/tenure.py
@@ -28,22 +28,22 @@
     began_at: float
     #: From when on it may give units of limits: the home before may have lived
     #: on until then.
-    gives_at: float = float('-inf')
+    allocates_from: float = float('-inf')
     #: Whether no node of this fleet was ever the home before.
     is_first: bool = False
     #: Whether it gave up its record and only answers until there is another.
     resigned: bool = False
     #: Whether it cannot renew its lease.
-    is_cut: bool = False
+    is_renewal_failing: bool = False
 
     @property
     def timeline(self) -> int:
         """Return the timeline of the store on which it holds the record."""
         return timeline_of(self.epoch)
 
-    def may_give(self, now: float) -> bool:
+    def may_allocate(self, now: float) -> bool:
         """Tell whether no other node can give units of the limits."""
-        return self.gives_at <= now < self.valid_until
+        return self.allocates_from <= now < self.valid_until
 
     def resign(self) -> None:
         """Act no more from now on."""
@@ -51,6 +51,6 @@
         self.valid_until = float('-inf')
 
 
-def is_giver(tenure: Tenure | None, now: float) -> bool:
+def can_allocate(tenure: Tenure | None, now: float) -> bool:
     """Tell whether a node alone may give what all share."""
-    return tenure is not None and tenure.may_give(now)
+    return tenure is not None and tenure.may_allocate(now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -21,11 +21,11 @@
 logger = logging.getLogger(__name__)
 
 #: What the other nodes are to know.
-TOLD = frozenset((News.LIMIT, News.NO_LIMIT, News.LEAVES))
+REPORTED_CHANGES = frozenset((News.LIMIT, News.NO_LIMIT, News.LEAVES))
 
 
 @dataclass(slots=True)
-class UpstreamWords:
+class UpstreamStatements:
     """Hold the words of upstreams and, as the home, the permits."""
 
     table: Statements = field(default_factory=Statements)
@@ -33,11 +33,11 @@
     #: What upstreams ask of this node alone.
     backoffs: Backoffs = field(default_factory=Backoffs)
     #: Upstreams of which this node heard something that the home may not know.
-    untold: dict[Lifetime, None] = field(default_factory=dict)
+    unreported: dict[Lifetime, None] = field(default_factory=dict)
     #: Set, and replaced, as there is another one.
-    heard: anyio.Event = field(default_factory=anyio.Event)
+    has_unreported: anyio.Event = field(default_factory=anyio.Event)
 
-    def hear(
+    def record(
         self,
         lifetime: Lifetime,
         said: Statement,
@@ -56,28 +56,28 @@
             now,
             is_signed=is_signed,
         )
-        if TOLD.intersection(news):
-            self._follow(lifetime, now)
-            self.untold[lifetime] = None
-            self.heard.set()
-            self.heard = anyio.Event()
+        if REPORTED_CHANGES.intersection(news):
+            self._update_permit_rate(lifetime, now)
+            self.unreported[lifetime] = None
+            self.has_unreported.set()
+            self.has_unreported = anyio.Event()
         return news
 
-    def learn(self, words: Words, now: float) -> list[Lifetime]:
+    def merge(self, words: Words, now: float) -> list[Lifetime]:
         """Take what another node knows; return what had not been known."""
         news = self.table.learn(words, now)
         for lifetime in news:
             logger.debug(
                 'Another node says of %s: %s', lifetime, words[lifetime]
             )
-            self._follow(lifetime, now)
+            self._update_permit_rate(lifetime, now)
         return news
 
-    def take_untold(self, now: float) -> Words:
+    def take_unreported(self, now: float) -> Words:
         """Return what the home may not know, once."""
-        untold = self.untold
-        self.untold = {}
-        return self.table.words(untold, now)
+        unreported = self.unreported
+        self.unreported = {}
+        return self.table.words(unreported, now)
 
     def begin_tenure(self, now: float) -> None:
         """Give permits as a home that begins: there are none yet."""
@@ -88,8 +88,8 @@
     def forget(self, lifetime: Lifetime, now: float) -> None:
         """Drop what an upstream said that is over for good."""
         self.table.forget(lifetime)
-        self.untold.pop(lifetime, None)
+        self.unreported.pop(lifetime, None)
         self.permits.follow(lifetime, None, now)
 
-    def _follow(self, lifetime: Lifetime, now: float) -> None:
+    def _update_permit_rate(self, lifetime: Lifetime, now: float) -> None:
         self.permits.follow(lifetime, self.table.rates.get(lifetime), now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/attempt.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/attempt.py
@@ -8,7 +8,7 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.routing.sends import SendEnd, SendState
 
-from spanfall_node.gateway.net.client import AnswerHead
+from spanfall_node.gateway.net.client import ResponseHead
 from spanfall_node.gateway.requests.admission import Work
 from spanfall_node.gateway.requests.caller_connection import CallerConnection
 from spanfall_node.gateway.tables.state import GatewayState
@@ -29,7 +29,7 @@
 
     end: SendEnd
     reason: str
-    head: AnswerHead | None = None
+    head: ResponseHead | None = None
     body: bytes = b''
 
 
@@ -69,7 +69,7 @@
 async def relay_whole(
     state: GatewayState,
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
     body: bytes,
 ) -> None:
     """Send the caller an upstream's answer that was read whole."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -96,7 +96,7 @@
         if self.state.timers.now() - heard_at < SILENT_SECONDS:
             return
         if len(self._waiting) >= MOST_WAITING:
-            self.state.counters.unexamined.inc()
+            self.state.counters.unexamined_requests.inc()
             return
         self._waiting.append(Unanswered(identity, upstream))
         self._is_waiting.set()
@@ -116,11 +116,13 @@
         """Learn which doubted upstreams have ended, until cancelled."""
         state = self.state
         while True:
-            await state.crashes.doubted.wait()
+            await state.crashes.has_suspected_crashes.wait()
             await anyio.sleep(SETTLE_PERIOD)
             now = state.timers.now()
             heartbeat = state.cfg.upstream_heartbeat_seconds
-            state.crashes.settle(state.directory, heartbeat, now)
+            state.crashes.resolve_suspected_crashes(
+                state.directory, heartbeat, now
+            )
 
     async def note_run(
         self,
@@ -129,7 +131,7 @@
     ) -> None:
         """Tell the home how far a request has come that is watched."""
         run = WatchedRun(identity, stage)
-        self.state.crashes.note_run(run, self.state.timers.now())
+        self.state.crashes.record_run(run, self.state.timers.now())
         if self._send is not None:
             await self._send(run)
 
@@ -144,11 +146,13 @@
         now = self.state.timers.now()
         lifetime = upstream.lifetime
         if sign is Sign.ENDED:
-            crashes.note_end(identity, lifetime, now)
+            crashes.record_crash(identity, lifetime, now)
             report = CrashReport({identity: (lifetime,)})
         else:
             is_strong = sign is Sign.NO_ANSWER
-            crashes.note_doubt(identity, lifetime, now, is_strong=is_strong)
+            crashes.record_suspected_crash(
+                identity, lifetime, now, is_strong=is_strong
+            )
             report = CrashReport(doubts={identity: {lifetime: is_strong}})
         if self._send is not None:
             await self._send(report)
@@ -186,7 +190,7 @@
     except NotSentError:
         return Sign.NO_ANSWER
     try:
-        is_closed = await conn.ends_within(CLOSE_SECONDS)
+        is_closed = await conn.closes_within(CLOSE_SECONDS)
     finally:
         await conn.close()
     return Sign.NO_ANSWER if is_closed else Sign.TAKES_CONNECTIONS
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/forwarded.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/forwarded.py
@@ -1,6 +1,6 @@
 """Build what goes to an upstream and what goes back to the caller."""
 
-from spanfall_node.gateway.net.client import AnswerHead
+from spanfall_node.gateway.net.client import ResponseHead
 from spanfall_node.gateway.net.ports import HeaderNames, Headers, HttpCall
 from spanfall_node.gateway.requests.admission import Work
 
@@ -52,13 +52,13 @@
     return HttpCall(work.req.method, work.req.target, headers, work.body)
 
 
-def is_event_stream(head: AnswerHead) -> bool:
+def is_event_stream(head: ResponseHead) -> bool:
     """Tell whether an answer is a series of events."""
     return head.header(b'content-type').startswith(b'text/event-stream')
 
 
 def answer_headers(
-    head: AnswerHead,
+    head: ResponseHead,
     size: int | None,
     method: str,
 ) -> Headers:
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -12,7 +12,7 @@
 
 from spanfall_node.gateway.links.messages import GrantMessage, GrantRequest
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.tables.tenure import is_giver
+from spanfall_node.gateway.tables.tenure import can_allocate
 
 #: Seconds after which a caller is to come back whose request only upstreams
 #: with limits of their own could serve, while no home gives permits: most
@@ -38,7 +38,7 @@
     that is suspect of it only where no other such request is tried.
     """
     now = state.timers.now()
-    state.learn_own_load(now)
+    state.record_own_load(now)
     standing = state.crashes.standing(request.ask.identity, now)
     if standing in NOT_SENT:
         return GrantMessage(number, standing=standing)
@@ -75,7 +75,7 @@
 
     What a home gives that is perhaps not the only one could pass a limit.
     """
-    if is_giver(state.tenure, now):
+    if can_allocate(state.tenure, now):
         return state.words.permits.withheld(now)
     return state.words.table.rates.keys()
 
@@ -85,7 +85,7 @@
     untried = is_any_limited(state, request.service, request.ask)
     if not untried:
         return 0
-    if is_giver(state.tenure, now):
+    if can_allocate(state.tenure, now):
         rows = state.directory.serving(request.service)
         return state.words.permits.wait(request.service, rows, now)
     return HOMELESS_SECONDS
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -5,7 +5,7 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.statements import News, Words
 
-from spanfall_node.gateway.net.client import AnswerHead
+from spanfall_node.gateway.net.client import ResponseHead
 from spanfall_node.gateway.tables.state import GatewayState
 
 logger = logging.getLogger(__name__)
@@ -18,7 +18,7 @@
 def hear(
     state: GatewayState,
     lifetime: Lifetime,
-    head: AnswerHead,
+    head: ResponseHead,
     sent_at: float,
 ) -> None:
     """Take what the head of an answer says; log and count what is new.
@@ -28,7 +28,7 @@
     if head.status == OTHER_LIFETIME:
         return
     said = state.platform.read_statement(head.status, head.headers)
-    news = state.words.hear(
+    news = state.words.record(
         lifetime,
         said,
         sent_at,
@@ -53,5 +53,5 @@
 
 def learn_words(state: GatewayState, words: Words) -> None:
     """Take what another node knows of upstreams."""
-    news = state.words.learn(words, state.timers.now())
+    news = state.words.merge(words, state.timers.now())
     state.directory.note_words(news)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -98,7 +98,7 @@
 
 
 async def _cut(state: GatewayState, exchange: Exchange, reason: str) -> None:
-    state.counters.cuts.labels(reason).inc()
+    state.counters.cut_answers.labels(reason).inc()
     logger.warning(
         'Cut the answer to %s: %s; the caller sees it as unfinished',
         exchange.work.attempt_id,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
@@ -7,7 +7,7 @@
 from spanfall_core.gateway.routing.balance import Choice
 from spanfall_core.gateway.routing.sends import SendEnd
 
-from spanfall_node.gateway.net.client import AnswerHead, Connection
+from spanfall_node.gateway.net.client import Connection, ResponseHead
 from spanfall_node.gateway.net.errors import (
     BrokenCallError,
     CallerGoneError,
@@ -55,11 +55,11 @@
     """Send a request to one upstream and relay what it answers."""
     upstream = choice.upstream
     state.loads.begin(upstream.lifetime, choice.prefill)
-    state.note_load()
+    state.notify_load_changed()
     parts = exchange.work.parts
     state.prompts.prefixes.remember(upstream.lifetime, parts)
     if not exchange.sends.sends:
-        state.note_read_work(upstream.service, choice.prefill)
+        state.record_prefill_work(upstream.service, choice.prefill)
     pending = Prefill(state, choice, choice.prefill, state.timers.now())
     try:
         return await _send_over(state, pool, exchange, choice, pending)
@@ -69,7 +69,7 @@
     finally:
         pending.done()
         state.loads.end(upstream.lifetime)
-        state.note_load()
+        state.notify_load_changed()
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
     def first_token(self) -> None:
         """Learn from the first token how fast the upstream reads."""
         if self.tokens and not self.choice.ahead:
-            self.state.note_first_token(
+            self.state.record_first_token(
                 self.choice.upstream.service,
                 self.tokens,
                 self.state.timers.now() - self.sent_at,
@@ -95,7 +95,7 @@
         """Count the prompt as read, once."""
         lifetime = self.choice.upstream.lifetime
         self.state.loads.first_token(lifetime, self.tokens)
-        self.state.note_load()
+        self.state.notify_load_changed()
         self.tokens = 0
 
 
@@ -107,7 +107,7 @@
     pending: Prefill,
 ) -> Answered | Failed:
     upstream = choice.upstream
-    conn = await pool.take(
+    conn = await pool.acquire(
         upstream.lifetime,
         upstream.address,
         CONNECT_SECONDS,
@@ -123,7 +123,7 @@
         return Failed(SendEnd.BROKEN, _reason(exc))
     finally:
         with anyio.CancelScope(shield=True):
-            await pool.give_back(upstream.lifetime, conn)
+            await pool.release(upstream.lifetime, conn)
 
 
 def _reason(exc: Exception) -> str:
@@ -167,7 +167,7 @@
     lifetime = choice.upstream.lifetime
     sent_at = state.timers.now()
 
-    def is_ours(head: AnswerHead) -> bool:
+    def is_ours(head: ResponseHead) -> bool:
         # One that is dropped was given by the same upstream.
         hear(state, lifetime, head, sent_at)
         answered = head.header(names.attempt_id)
@@ -195,7 +195,7 @@
 def _classified(
     state: GatewayState,
     choice: Choice,
-    head: AnswerHead,
+    head: ResponseHead,
     body: bytes,
 ) -> Failed | None:
     """Return how a whole answer failed, or None if it is relayed."""
@@ -223,7 +223,7 @@
 async def _relay_stream(
     state: GatewayState,
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
     conn: Connection,
     pending: Prefill,
 ) -> Answered | Failed:
@@ -231,7 +231,7 @@
         return Failed(SendEnd.BROKEN, 'a stream without a signature')
     exchange.events.restart()
     while True:
-        part = await conn.read_part()
+        part = await conn.read_chunk()
         if part is None:
             break
         pending.first_token()
@@ -251,7 +251,7 @@
 async def _start(
     state: GatewayState,
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
 ) -> None:
     if exchange.started:
         return
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 KNOWN_RED = Path(__file__).parents[1] / 'KNOWN-RED.txt'
 
 
-def known_red():
+def known_failures():
     """Return the lines of the list, each beginning with a test."""
     if not KNOWN_RED.exists():
         return []
@@ -14,14 +14,14 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    names = {line.split()[0].rstrip(':') for line in known_red()}
-    red = [node for node in items if node.nodeid.partition('[')[0] in names]
-    if red:
-        config.hook.pytest_deselected(items=red)
-        for node in red:
+    names = {line.split()[0].rstrip(':') for line in known_failures()}
+    failing = [node for node in items if node.nodeid.partition('[')[0] in names]
+    if failing:
+        config.hook.pytest_deselected(items=failing)
+        for node in failing:
             items.remove(node)
 
 
 def pytest_terminal_summary(terminalreporter):
-    for line in known_red():
+    for line in known_failures():
         terminalreporter.write_line(f'known red, not run: {line}')
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -24,26 +24,26 @@
 )
 from spanfall_node.gateway.duties.capacity_duty import SETTLE_SECONDS
 
-PLACES = {'north': 1.0, 'south': 0.8, 'east': 1.25, 'west': 0.9}
+PRICES = {'north': 1.0, 'south': 0.8, 'east': 1.25, 'west': 0.9}
 #: Bounds and prices as of a deployment with four data centres.
-SCALING = Scaling(1, 5, boot_seconds=4, reclaimable_price=0.22, prices=PLACES)
+SCALING = Scaling(1, 5, boot_seconds=4, reclaimable_price=0.22, prices=PRICES)
 #: An engine as fast as the deployments' fastest: with ``FULL_LOAD`` requests
 #: running and ``FULL_WORK`` tokens to read a second, six are busy.
 ENGINE = EngineLimits(slots=24, cache_tokens=700_000)
 SPEED = ReadingSpeed(0.03, 110_000)
 FULL_LOAD = 60
-FULL_WORK = 170_000
+FULL_PREFILL_TOKENS = 170_000
 #: Engines without which answers of that load come late.
-BUSY_ENGINES = 6
-STEP = 0.25
-NOTICE = 2.5
+REQUIRED_ENGINES = 6
+STEP_SECONDS = 0.25
+NOTICE_SECONDS = 2.5
 
 #: Part of the full load at a time.
 Pattern = Callable[[float], float]
 
 
 @dataclass(slots=True)
-class FleetWorld:
+class FleetSimulation:
     """Hold a fleet, what is ordered and what came of it."""
 
     pattern: Pattern
@@ -51,9 +51,9 @@
     orders: ServiceOrders = field(default_factory=ServiceOrders)
     rows: dict[str, ListedUpstream] = field(default_factory=dict)
     #: When those that were ordered serve, and when those that leave go.
-    boots: dict[str, float] = field(default_factory=dict)
-    goes: dict[str, float] = field(default_factory=dict)
-    dry_until: float = 0
+    serves_at: dict[str, float] = field(default_factory=dict)
+    departs_at: dict[str, float] = field(default_factory=dict)
+    shortage_until: float = 0
     settles_at: float = 0
     #: Seconds that an engine was missing, and price of all seconds.
     late: float = 0
@@ -67,21 +67,21 @@
     def start(self, others: int) -> None:
         """List what the operator runs, spread over the data centres."""
         for number in range(others):
-            self._add(sorted(PLACES)[number % len(PLACES)], reclaimable=False)
+            self._add(sorted(PRICES)[number % len(PRICES)], reclaimable=False)
 
     def run(self, seconds: float) -> None:
-        for _ in range(round(seconds / STEP)):
-            self.now += STEP
-            self._move()
+        for _ in range(round(seconds / STEP_SECONDS)):
+            self.now += STEP_SECONDS
+            self._advance()
             self._plan()
             self._measure()
 
-    def reclaim(self, place: str, dry: float) -> None:
+    def reclaim(self, place: str, shortage: float) -> None:
         """Take back a data centre's reclaimable ones; none for a while."""
-        self.dry_until = max(self.dry_until, self.now + dry)
+        self.shortage_until = max(self.shortage_until, self.now + shortage)
         for key, row in self.rows.items():
             if row.reclaimable and row.data_centre == place:
-                self.goes.setdefault(key, self.now + NOTICE)
+                self.departs_at.setdefault(key, self.now + NOTICE_SECONDS)
 
     def lose_home(self) -> None:
         """Let another node take over, which knows only what is there."""
@@ -92,7 +92,7 @@
         return sum(
             1
             for key, row in self.rows.items()
-            if key not in self.boots
+            if key not in self.serves_at
             and (reclaimable is None or row.reclaimable == reclaimable)
         )
 
@@ -108,25 +108,25 @@
         )
         return key
 
-    def _move(self) -> None:
-        for gone in self._due(self.goes):
-            self.goes.pop(gone)
+    def _advance(self) -> None:
+        for gone in self._due(self.departs_at):
+            self.departs_at.pop(gone)
             self.rows.pop(gone)
-            self.boots.pop(gone, None)
-        for booted in self._due(self.boots):
-            self.boots.pop(booted)
+            self.serves_at.pop(gone, None)
+        for booted in self._due(self.serves_at):
+            self.serves_at.pop(booted)
 
     def _due(self, times: dict[str, float]) -> list[str]:
         return [key for key, at in times.items() if at <= self.now]
 
     def _plan(self) -> None:
         part = self.pattern(self.now)
-        load = OfferedLoad(FULL_LOAD * part, FULL_WORK * part)
+        load = OfferedLoad(FULL_LOAD * part, FULL_PREFILL_TOKENS * part)
         needed = needed_upstreams(ENGINE, load, SPEED, self.serving())
         listed = [
             row
             for key, row in self.rows.items()
-            if key not in self.boots and key not in self.goes
+            if key not in self.serves_at and key not in self.departs_at
         ]
         present = count_present(listed)
         demand = self.orders.demand
@@ -136,29 +136,29 @@
             return
         planned = plan_orders('llm', SCALING, self.orders, present, self.now)
         for order in planned:
-            self._take(order)
+            self._execute(order)
 
-    def _take(self, order) -> None:
+    def _execute(self, order) -> None:
         place, reclaimable = order.subject
-        have = [
+        held = [
             key
             for key, row in self.rows.items()
             if (row.data_centre, row.reclaimable) == order.subject
-            and key not in self.goes
+            and key not in self.departs_at
         ]
-        missing = order.count - len(have)
-        if missing > 0 and reclaimable and self.now < self.dry_until:
+        missing = order.count - len(held)
+        if missing > 0 and reclaimable and self.now < self.shortage_until:
             note_refused(order, self.orders, self.now)
             return
-        self._note(order, missing)
+        self._record(order, missing)
         note_accepted(order, self.orders, self.now)
         for _ in range(missing):
             key = self._add(place, reclaimable=reclaimable)
-            self.boots[key] = self.now + SCALING.boot_seconds
-        for key in have[order.count :]:
-            self.goes[key] = self.now
+            self.serves_at[key] = self.now + SCALING.boot_seconds
+        for key in held[order.count :]:
+            self.departs_at[key] = self.now
 
-    def _note(self, order, missing: int) -> None:
+    def _record(self, order, missing: int) -> None:
         recent = [
             change
             for at, subject, change in self.sent
@@ -169,20 +169,20 @@
         self.sent.append((self.now, order.subject, missing))
 
     def _measure(self) -> None:
-        busy = BUSY_ENGINES * self.pattern(self.now)
+        busy = REQUIRED_ENGINES * self.pattern(self.now)
         short = max(0, busy - self.serving())
-        self.late += STEP * short / max(1, busy)
+        self.late += STEP_SECONDS * short / max(1, busy)
         for row in self.rows.values():
-            price = PLACES[row.data_centre]
+            price = PRICES[row.data_centre]
             if row.reclaimable:
                 price *= SCALING.reclaimable_price
-            self.price += STEP * price
+            self.price += STEP_SECONDS * price
 
 
-def count_kinds(world: FleetWorld) -> Counter:
+def count_kinds(world: FleetSimulation) -> Counter:
     """Count what serves, by kind."""
     return Counter(
         'reclaimable' if row.reclaimable else 'other'
         for key, row in world.rows.items()
-        if key not in world.boots
+        if key not in world.serves_at
     )
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -69,7 +69,7 @@
     #: Whether the answer ended as HTTP says it ends.
     complete: bool
 
-    def goes_on(self, event: object) -> bool:
+    def accept_event(self, event: object) -> bool:
         """Take an event; tell whether there is more to come."""
         if isinstance(event, h11.Response):
             self.status = event.status_code
@@ -132,7 +132,7 @@
         self.upstreams[lifetime] = upstream
         return upstream
 
-    def let_lapse(self, upstream: StandInUpstream) -> None:
+    def remove_entry(self, upstream: StandInUpstream) -> None:
         """Remove the entry of an upstream that writes no more."""
         self.store.remove(f'{UPSTREAM_PREFIX}{upstream.lifetime}')
 
@@ -144,13 +144,13 @@
         await wait_until(lambda: len(state.directory.rows) >= len(listed))
         return state
 
-    async def add_ending_gateway(
+    async def add_killable_gateway(
         self,
         life: anyio.CancelScope,
         **bounds: float,
     ) -> GatewayState:
         """Start a gateway that ends without a word as its life is cancelled."""
-        usual = self.tasks
+        outer_tasks = self.tasks
         started: list[GatewayState] = []
 
         async def run() -> None:
@@ -158,10 +158,10 @@
                 async with anyio.create_task_group() as tasks:
                     self.tasks = tasks
                     started.append(await self.add_gateway(**bounds))
-                    self.tasks = usual
+                    self.tasks = outer_tasks
                     await anyio.sleep_forever()
 
-        usual.start_soon(run)
+        outer_tasks.start_soon(run)
         await wait_until(lambda: bool(started))
         return started[0]
 
@@ -270,12 +270,12 @@
         except h11.RemoteProtocolError:
             return answer
         if event is h11.NEED_DATA:
-            protocol.receive_data(await _received(stream))
-        elif not answer.goes_on(event):
+            protocol.receive_data(await _receive(stream))
+        elif not answer.accept_event(event):
             return answer
 
 
-async def _received(stream: SocketStream) -> bytes:
+async def _receive(stream: SocketStream) -> bytes:
     try:
         return await stream.receive()
     except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -294,14 +294,14 @@
     """Run a test with a store, a cloud API and a first configuration."""
 
     def run() -> None:
-        run_async(lambda: _play(test))
+        run_async(lambda: _run_in_world(test))
 
     run.__name__ = test.__name__
     run.__doc__ = test.__doc__
     return run
 
 
-async def _play(test: Callable[[World], Awaitable[None]]) -> None:
+async def _run_in_world(test: Callable[[World], Awaitable[None]]) -> None:
     async with anyio.create_task_group() as tasks:
         store = StandInStore(time.monotonic)
         address = await start_server(tasks, store.answer)
--- a/tests/test_gateway_client.py
+++ b/tests/test_gateway_client.py
@@ -7,56 +7,58 @@
 from anyio.abc import SocketAttribute, SocketStream
 from spanfall_node.gateway.net.client import Connection, connect
 from spanfall_node.gateway.net.ports import HttpCall
-from spanfall_node.gateway.net.sockets import UNACKNOWLEDGED_MS
+from spanfall_node.gateway.net.sockets import TCP_USER_TIMEOUT_MS
 from support import run_async
 
 #: More than the sockets of both ends hold.
-LARGE = b'x' * 16_000_000
+LARGE_BODY = b'x' * 16_000_000
 #: Bound in seconds on a wait that should be none; reaching it is a failure.
-SOON = 25
-EARLY = b'HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n'
+TIMEOUT_SECONDS = 25
+EARLY_RESPONSE = b'HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n'
 
 
-async def answer_unread(stream: SocketStream) -> None:
+async def respond_without_reading(stream: SocketStream) -> None:
     """Answer at once and never read the request."""
-    await stream.send(EARLY)
+    await stream.send(EARLY_RESPONSE)
     await anyio.sleep_forever()
 
 
-def with_unread_server(test: Callable[[Connection], Awaitable[None]]) -> None:
+def run_with_unreading_server(
+    test: Callable[[Connection], Awaitable[None]],
+) -> None:
     """Run a test with a connection to a server that never reads."""
 
     async def main() -> None:
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         port = listener.extra(SocketAttribute.local_port)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(listener.serve, answer_unread)
-            await test(await connect(f'127.0.0.1:{port}', SOON))
+            tasks.start_soon(listener.serve, respond_without_reading)
+            await test(await connect(f'127.0.0.1:{port}', TIMEOUT_SECONDS))
             tasks.cancel_scope.cancel()
 
     run_async(main)
 
 
-def test_an_answer_before_the_body_is_read():
+def test_response_before_body_is_read():
     """A server that refuses early and reads no more does not hold us up."""
 
     async def check(conn: Connection) -> None:
-        call = HttpCall('POST', '/', body=LARGE)
-        with anyio.fail_after(SOON):
+        call = HttpCall('POST', '/', body=LARGE_BODY)
+        with anyio.fail_after(TIMEOUT_SECONDS):
             head = await conn.send_and_read_head(call, 'x', bool)
             body = await conn.read_body(1)
         assert (head.status, body, conn.reusable) == (503, b'', False)
 
-    with_unread_server(check)
+    run_with_unreading_server(check)
 
 
-def test_a_silent_connection_is_probed():
+def test_keepalive_probes_are_enabled():
     """A host without power neither answers nor closes."""
 
     async def check(conn: Connection) -> None:
         raw = conn.stream.extra(SocketAttribute.raw_socket)
         probed = raw.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
         bound = raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-        assert (probed, bound) == (1, UNACKNOWLEDGED_MS)
+        assert (probed, bound) == (1, TCP_USER_TIMEOUT_MS)
 
-    with_unread_server(check)
+    run_with_unreading_server(check)
--- a/tests/test_gateway_crash_spread.py
+++ b/tests/test_gateway_crash_spread.py
@@ -9,7 +9,7 @@
 from spanfall_node.gateway.home.entry_link import EntryLink
 from spanfall_node.gateway.links.crash_messages import RunStage, WatchedRun
 from spanfall_node.gateway.store.crash_record import CRASHES_KEY
-from spanfall_node.gateway.tables.crash_knowledge import CrashKnowledge
+from spanfall_node.gateway.tables.crash_knowledge import CrashState
 from spanfall_standins.gateway.upstream import (
     ends_under,
     in_turn,
@@ -80,51 +80,51 @@
 
 
 def test_a_new_home_sums_up_what_entries_saw():
-    home = CrashKnowledge()
+    home = CrashState()
     for number in range(3):
-        entry = CrashKnowledge()
-        entry.note_end(IDENTITY, f'u-{number}', 0)
-        home.learn_report(entry.report(0), 0)
+        entry = CrashState()
+        entry.record_crash(IDENTITY, f'u-{number}', 0)
+        home.apply_report(entry.report(0), 0)
     assert home.standing(IDENTITY, 0) is Standing.QUARANTINED
 
 
 def test_a_new_home_learns_what_is_open():
-    home = CrashKnowledge()
+    home = CrashState()
     for number in range(3):
-        entry = CrashKnowledge()
-        entry.note_doubt(IDENTITY, f'u-{number}', 0, is_strong=True)
-        home.learn_report(entry.report(0), 0)
+        entry = CrashState()
+        entry.record_suspected_crash(IDENTITY, f'u-{number}', 0, is_strong=True)
+        home.apply_report(entry.report(0), 0)
     assert home.standing(IDENTITY, 0) is Standing.HELD
-    assert home.doubted.is_set()
+    assert home.has_suspected_crashes.is_set()
 
 
 def test_a_doubt_of_what_has_ended_is_told():
     """The home knows of all three ends; an entry only doubts the last."""
-    home = CrashKnowledge()
+    home = CrashState()
     for number in range(3):
-        home.note_end('other', f'u-{number}', 0)
+        home.record_crash('other', f'u-{number}', 0)
         home.table.clear('other')
     told = home.changed
     for doubted in range(3):
-        home.note_doubt(IDENTITY, f'u-{doubted}', 0, is_strong=True)
+        home.record_suspected_crash(IDENTITY, f'u-{doubted}', 0, is_strong=True)
     assert home.standing(IDENTITY, 0) is Standing.QUARANTINED
     assert told.is_set()
 
 
 def test_the_home_lets_the_next_trial_begin():
-    home = CrashKnowledge()
+    home = CrashState()
     assert home.trials.try_begin('s', IDENTITY, 0)
-    home.note_run(WatchedRun(IDENTITY, RunStage.BEGAN), 0.1)
+    home.record_run(WatchedRun(IDENTITY, RunStage.BEGAN), 0.1)
     assert not home.trials.try_begin('s', 'other', 0.2)
     assert home.trials.try_begin('s', 'other', 0.4)
 
 
 def test_a_quarantine_passed_on_ends_in_time():
-    first, second = CrashKnowledge(), CrashKnowledge()
+    first, second = CrashState(), CrashState()
     for number in range(3):
-        first.note_end(IDENTITY, f'u-{number}', 0)
+        first.record_crash(IDENTITY, f'u-{number}', 0)
     half = QUARANTINE_SECONDS / 2
-    second.learn_report(first.report(half), half)
+    second.apply_report(first.report(half), half)
     assert second.standing(IDENTITY, half) is Standing.QUARANTINED
     assert second.standing(IDENTITY, QUARANTINE_SECONDS) is Standing.FREE
     assert not second.quarantined(QUARANTINE_SECONDS)
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -21,10 +21,10 @@
     HomeRecord,
 )
 from spanfall_node.gateway.store.sync import (
-    OLD_PROOF,
+    MAX_CONFIRMATION_AGE,
     READ_PERIOD,
-    START_SECONDS,
-    old_proof,
+    STARTUP_WAIT_SECONDS,
+    max_confirmation_age,
     read_period,
 )
 from spanfall_node.gateway.tables.tenure import home_key
@@ -44,7 +44,7 @@
     await wait_until(lambda: home_of(first, second) is not None)
     home = home_of(first, second)
     other = second if home is first else first
-    await wait_until(lambda: other.home_heard_at > 0 and bool(other.home))
+    await wait_until(lambda: other.home_answered_at > 0 and bool(other.home))
     return home, other
 
 
@@ -56,7 +56,9 @@
 def test_a_large_fleet_reports_more_rarely():
     periods = [report_period(entries) for entries in (1, 50, 100, 570)]
     assert periods == [0.25, 0.25, 0.5, 2.85]
-    ages = [round(old_proof(entries), 2) for entries in (1, 50, 100, 570)]
+    ages = [
+        round(max_confirmation_age(entries), 2) for entries in (1, 50, 100, 570)
+    ]
     assert ages == [1.1, 1.1, 1.35, 3.7]
 
 
@@ -204,7 +206,7 @@
     for lease in list(world.store.leases):
         world.store.end(lease)
     await wait_until(lambda: ended.resigned)
-    assert not ended.may_give(home.timers.now())
+    assert not ended.may_allocate(home.timers.now())
     await wait_until(lambda: home_of(home, other) is not None)
     assert home_of(home, other).tenure.epoch > ended.epoch
 
@@ -269,7 +271,7 @@
     await wait_until(lambda: home.is_home(home.timers.now()))
     entry = await world.add_unready_gateway()
     now = entry.timers.now
-    await wait_until(lambda: entry.freshness.age(now()) < OLD_PROOF)
+    await wait_until(lambda: entry.freshness.age(now()) < MAX_CONFIRMATION_AGE)
     assert entry.configuration is None
     assert not entry.is_ready(now())
     version = world.configure()
@@ -283,4 +285,4 @@
     await wait_until(lambda: state.tenure is not None)
     began_at = state.tenure.began_at
     await wait_until(lambda: state.configuration is not None)
-    assert state.freshness.proved_at - began_at < START_SECONDS
+    assert state.freshness.proved_at - began_at < STARTUP_WAIT_SECONDS
--- a/tests/test_gateway_home_restore.py
+++ b/tests/test_gateway_home_restore.py
@@ -51,10 +51,10 @@
     await wait_until(lambda: home.tenure.epoch > before.epoch)
     assert is_home(home)
     assert home.tenure.began_at == before.began_at
-    assert home.tenure.may_give(home.timers.now())
+    assert home.tenure.may_allocate(home.timers.now())
     assert home_key(home.tenure.timeline) in world.store.items
     await wait_until(lambda: follows(other, home))
-    await wait_until(lambda: other.home_heard_at > home.tenure.renewed_at)
+    await wait_until(lambda: other.home_answered_at > home.tenure.renewed_at)
 
 
 # Guards against a lease that another holds by the same number.
@@ -96,9 +96,9 @@
     async with ending_gateway(world) as (first, life):
         await wait_until(lambda: is_home(first))
         other = await world.add_gateway()
-        await wait_until(lambda: other.home_heard_at > 0)
+        await wait_until(lambda: other.home_answered_at > 0)
         world.store.failing = 503
-        await wait_until(lambda: first.tenure.is_cut)
+        await wait_until(lambda: first.tenure.is_renewal_failing)
         epoch = first.tenure.epoch
         life.cancel()
     world.store.restore(world.store.copy())
@@ -106,8 +106,8 @@
     restored_at = other.timers.now()
     await wait_until(lambda: is_home(other))
     assert other.tenure.epoch > epoch
-    assert other.tenure.gives_at >= restored_at + ACTS - 0.1
-    await wait_until(lambda: other.tenure.may_give(other.timers.now()))
+    assert other.tenure.allocates_from >= restored_at + ACTS - 0.1
+    await wait_until(lambda: other.tenure.may_allocate(other.timers.now()))
     assert home_of(other) is other
 
 
@@ -141,7 +141,7 @@
     copy = world.store.copy()
     home.needs = {'llm': 12.5}
     quarantined = {IDENTITY: QUARANTINE_SECONDS}
-    home.crashes.learn_quarantined(quarantined, home.timers.now())
+    home.crashes.merge_quarantined(quarantined, home.timers.now())
     written = {NEEDS_KEY, CRASHES_KEY}
     await wait_until(lambda: written <= world.store.items.keys())
     world.store.restore(copy)
--- a/tests/test_gateway_order_patterns.py
+++ b/tests/test_gateway_order_patterns.py
@@ -10,7 +10,7 @@
 from random import Random
 
 import pytest
-from fleet_world import FleetWorld, count_kinds
+from fleet_world import FleetSimulation, count_kinds
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.demand import Demand, take_over
@@ -27,7 +27,7 @@
 
 
 def started(pattern=full_after_lead):
-    world = FleetWorld(pattern)
+    world = FleetSimulation(pattern)
     world.start(FOUND)
     world.run(LEAD)
     return world
@@ -82,7 +82,7 @@
     world.run(10)
     paid = world.price
     for place, pause in (('west', 6), ('east', 9), ('north', 5), ('south', 13)):
-        world.reclaim(place, dry=14)
+        world.reclaim(place, shortage=14)
         world.run(pause)
     assert world.late <= 2.5
     assert world.price - paid <= 240
@@ -104,7 +104,7 @@
         world.reclaim(place, dry)
         world.run(pause)
     late = world.late
-    world.reclaim('north', dry=12)
+    world.reclaim('north', shortage=12)
     world.run(6)
     assert world.late - late <= 1
     assert world.reversals == 0
@@ -115,7 +115,7 @@
     world = started()
     world.run(10)
     paid = world.price
-    world.reclaim('south', dry=14)
+    world.reclaim('south', shortage=14)
     world.run(14)
     assert world.late == 0
     assert world.serving(reclaimable=False) == 1
@@ -127,9 +127,9 @@
     """The next home sends nothing away that the load needs."""
     world = started()
     world.run(10)
-    world.reclaim('west', dry=16)
+    world.reclaim('west', shortage=16)
     world.run(4)
-    world.reclaim('east', dry=14)
+    world.reclaim('east', shortage=14)
     world.run(after)
     late = world.late
     world.lose_home()
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -24,7 +24,7 @@
 from spanfall_core.gateway.known.unit_reports import EntrySpending
 from spanfall_core.gateway.limits.shared_levels import SharedLevels
 from spanfall_core.gateway.routing.grants import EntryLoad, GrantBook
-from spanfall_node.gateway.store.sync import old_proof
+from spanfall_node.gateway.store.sync import max_confirmation_age
 
 SIZES = (8, 50, 77, 195, 231, 400, 600)
 LIMITS = {'w': Limit(100_000, 100_000, 8)}
@@ -117,4 +117,4 @@
         period = report_period(entries)
         assert silent_after(period) >= 2 * period
         assert unheard_after(period) >= silent_after(period)
-        assert old_proof(entries) > period
+        assert max_confirmation_age(entries) > period
--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -55,7 +55,7 @@
 def may_give(state):
     """Tell whether a node may give units of limits."""
     now = state.timers.now()
-    return state.tenure is not None and state.tenure.may_give(now)
+    return state.tenure is not None and state.tenure.may_allocate(now)
 
 
 class Course:
@@ -83,7 +83,7 @@
         self.world.configure(workspaces=workspaces)
         for _ in range(UPSTREAMS):
             self.upstreams.append(await self.world.add_upstream(whole()))
-        home = await self.world.add_ending_gateway(self.life, **BOUNDS)
+        home = await self.world.add_killable_gateway(self.life, **BOUNDS)
         await wait_until(lambda: is_home(home))
         self.gateways.append(home)
         for _ in range(ENTRIES - 1):
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -144,7 +144,7 @@
     upstream.says = LEAVING
     await ask(state, '/any/1', attempt='a')
     row = state.directory.rows[upstream.lifetime]
-    world.let_lapse(upstream)
+    world.remove_entry(upstream)
     await wait_until(lambda: not state.directory.rows)
     upstream.says = {}
     entry = msgspec.json.encode(replace(row, born=2, said_leaving=False))
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -5,7 +5,7 @@
 from spanfall_api.gateway_settings import GatewaySettingsError, parse_settings
 from spanfall_node.gateway.main import main
 
-GOOD = """
+VALID_SETTINGS = """
 // a comment
 {
   "node": "n", "data_centre": "north", "platform": "x",
@@ -16,7 +16,7 @@
 
 
 def test_defaults_and_numbers():
-    cfg = parse_settings(GOOD)
+    cfg = parse_settings(VALID_SETTINGS)
     assert (cfg.bounds.revoke_seconds, cfg.bounds.stop_seconds) == (5, 8)
     assert (cfg.cloud, cfg.reports_usage) == ('', False)
 
@@ -31,17 +31,17 @@
         ('{', '', 'not JSON'),
     ],
 )
-def test_a_wrong_setting_is_named(old, new, named):
+def test_error_names_the_invalid_setting(old, new, expected):
     with pytest.raises(GatewaySettingsError) as caught:
-        parse_settings(GOOD.replace(old, new, 1))
-    assert named in str(caught.value)
+        parse_settings(VALID_SETTINGS.replace(old, new, 1))
+    assert expected in str(caught.value)
 
 
-def test_the_command_checks_a_file(tmp_path):
+def test_check_option_validates_a_file(tmp_path):
     path = tmp_path / 'settings.json'
-    path.write_text(GOOD, 'utf-8')
-    right = CliRunner().invoke(main, ['--settings', str(path), '--check'])
+    path.write_text(VALID_SETTINGS, 'utf-8')
+    valid = CliRunner().invoke(main, ['--settings', str(path), '--check'])
     path.write_text('{}', 'utf-8')
-    wrong = CliRunner().invoke(main, ['--settings', str(path), '--check'])
-    assert (right.exit_code, wrong.exit_code) == (0, 2)
-    assert 'settings:' in wrong.output
+    invalid = CliRunner().invoke(main, ['--settings', str(path), '--check'])
+    assert (valid.exit_code, invalid.exit_code) == (0, 2)
+    assert 'settings:' in invalid.output
--- a/tests/test_gateway_slow_signs.py
+++ b/tests/test_gateway_slow_signs.py
@@ -62,7 +62,7 @@
             for state in gateways
         )
         for upstream in ended(world):
-            world.let_lapse(upstream)
+            world.remove_entry(upstream)
         await wait_until(
             lambda: all(
                 standing(state, path) is Standing.QUARANTINED
--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -23,20 +23,20 @@
 from support import wait_until
 
 #: Seconds within which a change is to be in force, as the platform asks.
-APPLIED = 2.0
-DRAINED = 2.0
+APPLY_SECONDS = 2.0
+DRAIN_SECONDS = 2.0
 #: Seconds after which an upstream that lives has written its entry again.
-WRITTEN_AGAIN = 1.5
+REWRITE_WAIT_SECONDS = 1.5
 #: Seconds after which a key that was taken away may not work.
-REVOKED = 1.0
+REVOKE_SECONDS = 1.0
 #: Writes of others that are lost: their revisions are given out again.
 LOST_WRITES = 200
 
 
-async def restored_gateways(world):
+async def add_gateways_and_restore(world):
     """Start two gateways; let them follow the store past a copy of it."""
     gateways = [await world.add_gateway() for _ in range(2)]
-    copy = world.store.copy()
+    backup = world.store.backup()
     world.store.revision += LOST_WRITES
     world.configure(body_bytes=11)
     revision = world.store.revision
@@ -46,27 +46,27 @@
             and any(row.directory.revision >= revision for row in gateways)
         ),
     )
-    world.store.restore(copy)
+    world.store.restore(backup)
     return gateways
 
 
 # Guards against a version left out since its revision is a lower one.
 @in_world
-async def test_a_change_after_a_restore_is_in_force(world):
-    gateways = await restored_gateways(world)
+async def test_configuration_change_after_restore_applies(world):
+    gateways = await add_gateways_and_restore(world)
     world.configure(body_bytes=12)
-    await anyio.sleep(APPLIED)
+    await anyio.sleep(APPLY_SECONDS)
     assert [row.limits.body_bytes for row in gateways] == [12, 12]
 
 
 # Guards against a listing left out since its revision is a lower one.
 @in_world
-async def test_one_that_leaves_after_a_restore(world):
+async def test_upstream_leaving_after_restore(world):
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
-    gateways = await restored_gateways(world)
+    gateways = await add_gateways_and_restore(world)
     world.configure(body_bytes=12)
-    let_leave(world, upstreams[0])
-    await anyio.sleep(DRAINED)
+    mark_leaving(world, upstreams[0])
+    await anyio.sleep(DRAIN_SECONDS)
     before = len(upstreams[0].seen)
     for number, state in enumerate(gateways * 4):
         answer = await ask(state, '/any/1', attempt=f'a{number}')
@@ -74,7 +74,7 @@
     assert len(upstreams[0].seen) == before
 
 
-def let_leave(world, upstream):
+def mark_leaving(world, upstream):
     """Let an upstream write that it leaves."""
     key = f'{UPSTREAM_PREFIX}{upstream.lifetime}'
     entry = msgspec.json.decode(
@@ -92,50 +92,50 @@
 
 # Guards against a copy that takes back what an upstream has written.
 @in_world
-async def test_one_that_left_before_a_restore(world):
+async def test_upstream_that_left_before_restore(world):
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
     gateways = [await world.add_gateway() for _ in range(2)]
-    copy = world.store.copy()
-    let_leave(world, upstreams[0])
+    backup = world.store.backup()
+    mark_leaving(world, upstreams[0])
     left = {upstreams[1].lifetime}
     await wait_until(lambda: all(serving(row) == left for row in gateways))
-    world.store.restore(copy)
+    world.store.restore(backup)
     world.store.put('any', 'write')
-    await anyio.sleep(DRAINED)
+    await anyio.sleep(DRAIN_SECONDS)
     assert [serving(row) for row in gateways] == [left, left]
 
 
 # Guards against upstreams that are given up since a copy does not name them
 # yet, though no call to the store has failed.
 @in_world
-async def test_one_that_a_copy_does_not_name(world):
+async def test_upstream_missing_from_restored_backup(world):
     await world.add_upstream(whole())
-    copy = world.store.copy()
+    backup = world.store.backup()
     newer = await world.add_upstream(whole())
     gateways = [await world.add_gateway() for _ in range(2)]
     key = f'{UPSTREAM_PREFIX}{newer.lifetime}'
     entry = world.store.items[key].content
-    world.store.restore(copy)
-    await anyio.sleep(WRITTEN_AGAIN)
+    world.store.restore(backup)
+    await anyio.sleep(REWRITE_WAIT_SECONDS)
     world.store.put(key, entry)
-    await anyio.sleep(DRAINED)
+    await anyio.sleep(DRAIN_SECONDS)
     assert all(newer.lifetime in serving(row) for row in gateways)
 
 
 # Guards against a key that works again: the copy lacks the version that took
 # it away, which no node had read before the store went away.
 @in_world
-async def test_a_key_taken_away_before_a_restore(world):
+async def test_key_revoked_before_restore(world):
     workspace = PlainWorkspace('w', ['k'])
     world.configure(workspaces=[workspace])
     await world.add_upstream(whole())
-    state = await world.add_gateway(revoke_seconds=REVOKED)
-    copy = world.store.copy()
+    state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
+    backup = world.store.backup()
     world.store.failing = 503
     version = world.configure(workspaces=[replace_keys(workspace)])
     lost = world.store.items[CONFIGURATION_KEY].content
     await wait_until(lambda: not serves_keys(state))
-    world.store.restore(copy)
+    world.store.restore(backup)
     world.store.failing = 0
     answers = [await ask_with_key(state, number) for number in range(15)]
     assert {answer.status for answer in answers} == {503}
@@ -146,11 +146,11 @@
 
 # Guards against a node that refuses for good where nothing was lost.
 @in_world
-async def test_no_change_before_a_restore(world):
-    state = await world.add_gateway(revoke_seconds=REVOKED)
+async def test_keys_served_again_after_lossless_restore(world):
+    state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
     world.store.failing = 503
     await wait_until(lambda: not serves_keys(state))
-    world.store.restore(world.store.copy())
+    world.store.restore(world.store.backup())
     world.store.failing = 0
     restored_at = state.timers.now()
     await wait_until(lambda: serves_keys(state))
@@ -186,7 +186,7 @@
 
 # Guards against an old answer that arrives late, after a newer one.
 @in_world
-async def test_answers_from_before_a_restore(world):
+async def test_late_answer_from_older_timeline(world):
     world.store.timeline = 2
     async with store_client(world) as store:
         later = (await store.list_items('x')).revision
@@ -202,7 +202,7 @@
 
 # Guards against a list whose pages are from before and after a restore.
 @in_world
-async def test_a_restore_between_two_pages(world):
+async def test_restore_between_two_pages(world):
     await world.add_upstream(whole())
     async with store_client(world) as store:
         await store.list_items('x')
@@ -210,7 +210,7 @@
 
         async def page_and_restore(prefix, after):
             page = await read_page(prefix, after)
-            world.store.restore(world.store.copy())
+            world.store.restore(world.store.backup())
             return replace(page, has_more=not after)
 
         store._page = page_and_restore
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -71,7 +71,7 @@
     home = await add_gated(world, gate, **settings)
     await wait_until(lambda: is_home(home))
     other = await world.add_gateway(**settings)
-    await wait_until(lambda: other.home_heard_at > 0)
+    await wait_until(lambda: other.home_answered_at > 0)
     lease = home.tenure.lease
     gate.is_shut = True
     await wait_until(lambda: is_home(other))
@@ -88,8 +88,8 @@
     await wait_until(lambda: is_home(home))
     entry = await add_gated(world, gate)
     other = await world.add_gateway()
-    await wait_until(lambda: other.home_heard_at > 0)
-    await wait_until(lambda: entry.home_heard_at > 0)
+    await wait_until(lambda: other.home_answered_at > 0)
+    await wait_until(lambda: entry.home_answered_at > 0)
     gate.is_shut = True
     await wait_until(lambda: is_home(other))
     epoch = other.tenure.epoch
@@ -104,10 +104,10 @@
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     other = await world.add_gateway()
-    await wait_until(lambda: other.home_heard_at > 0)
+    await wait_until(lambda: other.home_answered_at > 0)
     calls = other.counters.registry.get_sample_value
     world.store.failing = 503
-    await wait_until(lambda: home.tenure.is_cut)
+    await wait_until(lambda: home.tenure.is_renewal_failing)
     await wait_until(
         lambda: calls('spanfall_store_calls_total', {'outcome': '503'}),
     )
@@ -134,7 +134,7 @@
     start_gateway(again, world.tasks)
     await wait_until(lambda: is_home(again) or is_home(other))
     holder = again if is_home(again) else other
-    assert holder.tenure.may_give(holder.timers.now())
+    assert holder.tenure.may_allocate(holder.timers.now())
 
 
 @in_world
@@ -144,8 +144,8 @@
     state = await world.add_unready_gateway()
     await wait_until(lambda: is_home(state))
     tenure = state.tenure
-    assert not tenure.may_give(tenure.began_at)
-    await wait_until(lambda: tenure.may_give(state.timers.now()))
+    assert not tenure.may_allocate(tenure.began_at)
+    await wait_until(lambda: tenure.may_allocate(state.timers.now()))
 
 
 class SlowStore:
@@ -156,7 +156,7 @@
 
     async def renew(self, timeline, lease, seconds):
         tenure = self._home.tenure
-        tenure.is_cut = True
+        tenure.is_renewal_failing = True
         assert Succession(self._home).hand_over(tenure.epoch) is not None
 
 
@@ -175,7 +175,7 @@
     """A home on a small host was late for seconds at 195 entries."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
-    home.tenure.is_cut = True
+    home.tenure.is_renewal_failing = True
     entries = [Entry() for _ in range(3 * ASKED)]
     succession = Succession(home)
     for cores, entry in enumerate(entries):
@@ -191,7 +191,7 @@
     """The first to be told may be cut off itself, or lose its answers."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
-    home.tenure.is_cut = True
+    home.tenure.is_renewal_failing = True
     epoch = home.tenure.epoch
     entries = [Entry() for _ in range(2 * ASKED)]
     succession = Succession(home)
@@ -216,7 +216,7 @@
     await anyio.sleep(CUT_SECONDS / 2)
     gate.is_shut = False
     await wait_until(lambda: home.tenure.renewed_at > renewed_at)
-    assert not home.tenure.is_cut
+    assert not home.tenure.is_renewal_failing
 
 
 @in_world
@@ -253,7 +253,7 @@
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     entry = await world.add_gateway()
-    await wait_until(lambda: entry.home_heard_at > 0)
-    home.note_home(None)
+    await wait_until(lambda: entry.home_answered_at > 0)
+    home.set_home(None)
     home.tenure = None
     await wait_until(lambda: entry.home is None)
--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -95,7 +95,7 @@
         for _ in range(UPSTREAMS):
             upstream = await self.world.add_upstream(whole())
             self.watched[upstream.lifetime] = Watched(upstream)
-        home = await self.world.add_ending_gateway(self.life)
+        home = await self.world.add_killable_gateway(self.life)
         self.gateways.append(home)
         await wait_until(lambda: is_home(home))
         for _ in range(ENTRIES - 1):
