--- a/packages/spanfall-api/src/spanfall_api/gateway_settings.py
+++ b/packages/spanfall-api/src/spanfall_api/gateway_settings.py
@@ -1,6 +1,7 @@
-"""Define, read and check the settings of a gateway.
+"""Define, read and validate the settings of a gateway.
 
-A settings file is JSON with comments. Times have their unit in the name.
+A settings file is JSON with comments. The names of durations end in their
+unit.
 """
 
 from pathlib import Path
@@ -14,86 +15,87 @@
 
 
 class GatewaySettingsError(Exception):
-    """Say which setting is wrong and where."""
+    """Report which setting is invalid and where."""
 
 
 class Listen(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Give the addresses that a gateway listens on, as host:port."""
+    """List the addresses that a gateway listens on, as host:port."""
 
     callers: str
     readiness: str
-    #: Port for the links between nodes.
+    #: Address for the links between nodes.
     links: str
     metrics: str = ''
 
 
 class Bounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """State what the deployment promises its users; from its contract."""
+    """Define the guarantees that the deployment gives its users by contract."""
 
-    #: A revoked key must not work later than this.
+    #: Time after its revocation within which a key must stop working.
     revoke_seconds: Positive = 5
-    #: Whether that holds also at a node that cannot reach the store; such a
-    #: node refuses keyed requests then.
+    #: Whether this also holds on a node that cannot reach the store: such a
+    #: node then refuses requests with keys.
     revocation_binds: bool = True
-    #: From the signal to stop until the process is killed.
+    #: Time from the stop signal until the process is killed.
     stop_seconds: Positive = 8
     retry_ratio: float = 0.2
     retry_allowance: float = 50
     retry_window_seconds: Positive = 10
-    #: Every span of this length keeps the limits of the workspaces.
+    #: Length of the sliding window over which workspace limits hold.
     quota_window_seconds: Positive = 8
-    #: Part of a limit, and units beside it, that the platform tolerates beyond
-    #: a limit in such a span; used only for entries that may be cut off.
+    #: Overage that the platform tolerates within a window, as a fraction of
+    #: the limit and in units; used only for entries that may be partitioned.
     quota_overage: float = 0
     quota_allowance: float = 0
-    #: Least time of a duty's lease, and wait before a new holder acts.
+    #: Minimum lease time of a fleet-wide duty, and the time that a new holder
+    #: waits before it acts.
     duty_lease_seconds: Positive = 3
     usage_window_seconds: Positive = 5
 
 
 class Host(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """State what the host gives to this node."""
+    """Describe the resources that the host provides to this node."""
 
-    #: Part of a core's time that the node gets.
+    #: CPU cores available to the node, as a fraction of one core.
     processor_part: Positive = 1
-    #: How many times as fast as a plain core it runs.
+    #: Speed of such a core relative to a reference core.
     processor_speed: Positive = 1
     #: Bandwidth of the host's link, in Mbit/s.
     link_megabits: Positive = 1000
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the settings of one gateway."""
+    """Define the settings of one gateway."""
 
     node: str
     data_centre: str
-    #: Module that holds the platform's adapter.
+    #: Name of the module that provides the platform's adapter.
     platform: str
     listen: Listen
     #: Address of the store, host:port.
     store: str
-    #: Shortest lease that the store grants.
+    #: Minimum lease time that the store grants.
     least_lease_seconds: float = 0
-    #: Seconds after which each upstream writes its entry in the store again.
+    #: Interval at which each upstream rewrites its entry in the store.
     upstream_heartbeat_seconds: Positive = 1.2
-    #: Address of the cloud API, host:port; empty: this fleet has no duties.
+    #: Address of the cloud API, host:port; empty: the fleet has no duties.
     cloud: str = ''
-    #: Whether this fleet reports usage and orders upstreams.
+    #: Whether this fleet reports usage and whether it orders upstreams.
     reports_usage: bool = False
     orders_upstreams: bool = False
     bounds: Bounds = Bounds()
     host: Host = Host()
-    #: Entries that share each limit as long as nobody counts them.
+    #: Number of entries assumed to share each limit until it is known.
     assumed_entries: Count = 8
-    #: Log lines a second; more are left out and counted.
+    #: Maximum log lines per second; further lines are dropped and counted.
     log_lines_per_second: Count = 100
 
 
 def parse_settings(text: str) -> GatewaySettings:
-    """Read settings from text.
+    """Parse settings from text.
 
     Raises:
-        GatewaySettingsError: the text is no JSON, or a setting is wrong.
+        GatewaySettingsError: the text is not JSON, or a setting is invalid.
     """
     try:
         content = jsonc.loads(text)
@@ -106,10 +108,10 @@
 
 
 def read_settings(path: Path) -> GatewaySettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises:
-        GatewaySettingsError: the file cannot be read, or a setting is wrong.
+        GatewaySettingsError: the file is unreadable or a setting is invalid.
     """
     try:
         text = path.read_text(encoding='utf-8')
--- a/packages/spanfall-node/src/spanfall_node/gateway/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers before the upstreams of a platform; a program of its own."""
+"""Run a gateway between callers and upstreams as a separate program."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
@@ -1,4 +1,4 @@
-"""Report readiness and metrics, and stop in an orderly way."""
+"""Serve readiness and metrics, and shut down gracefully."""
 
 import logging
 import signal
@@ -20,31 +20,33 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds after the signal for which a stopping node still listens: the
-#: balancer takes a node out after two questions, one a second.
+#: Minimum seconds for which a stopping node keeps listening after the signal:
+#: the load balancer removes a node after two failed health checks, which it
+#: sends once per second.
 MIN_STOP_SECONDS = 3.5
-#: Seconds before the end of the grace at which what still runs is cut.
+#: Seconds before the end of the grace period at which remaining requests are
+#: aborted.
 STOP_MARGIN_SECONDS = 0.7
-#: Seconds between two looks at what still runs.
+#: Seconds between two checks for open requests.
 POLL_SECONDS = 0.1
 
 _TEXT: Headers = [(b'content-type', b'text/plain; charset=utf-8')]
 
 
 class StatusServer:
-    """Answer the balancer's questions and requests for metrics."""
+    """Serve health checks of the load balancer and requests for metrics."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Use the tables of the node."""
+        """Use the state of the node."""
         self._state = state
 
     async def serve_connection(self, stream: SocketStream) -> None:
-        """Serve one connection."""
+        """Serve the requests of one connection."""
         caller = CallerConnection(stream, CallerLimits())
         try:
             await self._serve_requests(caller)
         except (BadRequestError, CallerGoneError) as exc:
-            logger.info('A status connection ended: %r', exc)
+            logger.info('Status connection failed: %r', exc)
         finally:
             await caller.close_at_once()
 
@@ -80,15 +82,19 @@
     leadership: Leadership,
     scope: anyio.CancelScope,
 ) -> None:
-    """Stop at SIGTERM: unready at once, then finish what runs."""
+    """Shut down on SIGTERM or SIGINT.
+
+    The node reports that it is not ready at once, resigns as home and waits
+    for open requests.
+    """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for number in signals:
-            logger.info('Signal %s: this node stops', number.name)
+            logger.info('Received %s: shutting down', number.name)
             break
     state.draining_since = state.timers.now()
     await leadership.resign()
     await _finish(state, callers)
-    logger.info('Stopped with %s requests open', state.open_requests)
+    logger.info('Shut down with %s requests still open', state.open_requests)
     scope.cancel()
 
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/main.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/main.py
@@ -1,4 +1,4 @@
-"""Run ``spanfall-node gateway``: parse arguments, read settings, run."""
+"""Parse the arguments of ``spanfall-node gateway`` and run the gateway."""
 
 import sys
 from pathlib import Path
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/__init__.py
@@ -1,1 +1,1 @@
-"""Speak to other processes: sockets, HTTP calls, what the platform is to give."""
+"""Provide sockets, HTTP calls and the interface of platform adapters."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
@@ -1,8 +1,7 @@
-"""Call HTTP servers over connections whose state is known at each step.
+"""Call HTTP servers over connections with an explicit state.
 
-One connection carries one request at a time. It says how far a request got,
-whether an answer ended as its server meant it to end, and whether the
-connection may be used again.
+A connection carries one request at a time. It reports how far a request got,
+whether the response was complete and whether the connection can be reused.
 """
 
 import logging
@@ -28,34 +27,36 @@
 
 logger = logging.getLogger(__name__)
 
-#: Most bytes of an answer's head.
+#: Maximum bytes of the head of a response.
 MAX_HEAD_BYTES = 65536
-#: Bodies of at least this size are sent while the answer is awaited, since
-#: a server may answer before it has read all.
+#: Bodies of at least this many bytes are sent while the response is awaited,
+#: since a server may respond before it has read the whole body.
 LARGE_BODY_BYTES = 32768
-#: Seconds that a connection is kept idle where the server names no time.
+#: Seconds for which an idle connection is kept if the server gives no
+#: keep-alive time-out.
 DEFAULT_IDLE_SECONDS = 10.0
-#: Part of the idle time that a server names after which we close first.
+#: Fraction of the server's keep-alive time-out after which the client closes
+#: the connection first.
 IDLE_FRACTION = 0.7
 _KEEP_ALIVE = re.compile(rb'timeout=(\d+)')
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Hold the status and headers of an answer."""
+    """Hold the status and headers of a response."""
 
     status: int
     reason: bytes
     headers: Headers
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a header in lower case, or nothing."""
+        """Return the first value of a header by its lower-case name, or b''."""
         return next((text for key, text in self.headers if key == name), b'')
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """Hold one connection to a server."""
+    """Manage one connection to a server."""
 
     stream: ByteStream
     address: str
@@ -63,7 +64,7 @@
         default_factory=lambda: h11.Connection(h11.CLIENT, MAX_HEAD_BYTES),
     )
     idle_seconds: float = DEFAULT_IDLE_SECONDS
-    #: Whether the answer just read lets the connection be used again.
+    #: Whether the connection can be reused after the last response.
     reusable: bool = False
     is_closed: bool = False
     _sent_request: h11.Request | None = None
@@ -73,7 +74,8 @@
         """Send a request with its whole body.
 
         Raises:
-            BrokenCallError: the connection ended; the request may run.
+            BrokenCallError: the connection ended; the request may be
+                processed all the same.
         """
         request = h11.Request(
             method=call.method,
@@ -94,13 +96,14 @@
         host: str,
         is_matching: Callable[[ResponseHead], bool],
     ) -> ResponseHead:
-        """Send a request and return the head of its answer.
+        """Send a request and return the head of its response.
 
-        A server may answer before it has read a large body; what it has not
-        read by then is not sent, and the connection is not used again.
+        A server may respond before it has read a large body: the rest is then
+        not sent, and the connection is not reused.
 
         Raises:
-            BrokenCallError: the answer did not come; the request may run.
+            BrokenCallError: no response arrived; the request may be processed
+                all the same.
         """
         if len(call.body) < LARGE_BODY_BYTES:
             await self.send(call, host)
@@ -118,22 +121,24 @@
         return ends[0]
 
     async def _send_logging_errors(self, call: HttpCall, host: str) -> None:
-        """Send; a failure shows in the answer, or in that none comes."""
+        """Send a request and log a failure, which the reader also detects."""
         try:
             await self.send(call, host)
         except BrokenCallError as exc:
-            logger.info('Could not send all to %s: %s', self.address, exc)
+            logger.info(
+                'Request to %s was not sent completely: %s', self.address, exc
+            )
 
     async def read_head(
         self,
         is_matching: Callable[[ResponseHead], bool],
     ) -> ResponseHead:
-        """Return the head of the answer to the request just sent.
+        """Return the head of the response to the last request.
 
-        An answer to an earlier request is read to its end and dropped.
+        A response to an earlier request is read completely and discarded.
 
         Raises:
-            BrokenCallError: the answer did not come.
+            BrokenCallError: no response arrived.
         """
         while True:
             event = await self._next_event()
@@ -148,16 +153,16 @@
                 self._record_keep_alive(head)
                 return head
             logger.warning(
-                'Dropped an answer that belongs to another request from %s',
+                'Discarded a response of %s to another request',
                 self.address,
             )
             await self._skip_response()
 
     async def read_chunk(self) -> bytes | None:
-        """Return the next bytes of the body, or None at its proper end.
+        """Return the next bytes of the body, or None once it is complete.
 
         Raises:
-            BrokenCallError: the body ended early.
+            BrokenCallError: the body was truncated.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -169,7 +174,7 @@
         """Return the rest of the body.
 
         Raises:
-            BrokenCallError: the body ended early or is larger than ``most``.
+            BrokenCallError: the body was truncated or exceeds ``most`` bytes.
         """
         parts: list[bytes] = []
         size = 0
@@ -180,17 +185,17 @@
             parts.append(part)
             size += len(part)
             if size > most:
-                raise BrokenCallError('the answer is too large')
+                raise BrokenCallError('response body is too large')
 
     async def close(self) -> None:
-        """Close at once; what was not read is discarded."""
+        """Close the connection at once and discard unread data."""
         self.reusable = False
         self.is_closed = True
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self.stream)
 
     async def watch_idle(self) -> None:
-        """Return when the idle connection ends, gets bytes or gets old."""
+        """Wait until the idle connection closes, receives data or expires."""
         with anyio.move_on_after(self.idle_seconds):
             try:
                 await self.stream.receive(READ_BYTES)
@@ -198,7 +203,7 @@
                 return
 
     async def closes_within(self, seconds: float) -> bool:
-        """Tell whether the server closes a connection that it just took."""
+        """Check whether the server closes a connection it has just accepted."""
         with anyio.move_on_after(seconds):
             try:
                 return not await self.stream.receive(READ_BYTES)
@@ -207,7 +212,7 @@
         return False
 
     def start_next(self) -> None:
-        """Get ready for another request."""
+        """Prepare the connection for another request."""
         self.protocol.start_next_cycle()
         self.reusable = False
 
@@ -220,7 +225,9 @@
         new_protocol = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         new_protocol.send(self._sent_request)
         if closed:
-            raise BrokenCallError('closed after the answer to another request')
+            raise BrokenCallError(
+                'connection closed after the response to another request'
+            )
         if rest:
             new_protocol.receive_data(rest)
         self.protocol = new_protocol
@@ -241,14 +248,16 @@
             try:
                 event = self.protocol.next_event()
             except h11.RemoteProtocolError as exc:
-                raise BrokenCallError(f'not an answer: {exc}') from exc
+                raise BrokenCallError(f'invalid HTTP response: {exc}') from exc
             if event is not h11.NEED_DATA:
                 return self._check_event(event)
             await self._receive()
 
     def _check_event(self, event: object) -> h11.Event:
         if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-            raise BrokenCallError('closed without an answer')
+            raise BrokenCallError(
+                'connection closed before the response was complete'
+            )
         return event
 
     async def _receive(self) -> None:
@@ -257,14 +266,16 @@
         except anyio.EndOfStream:
             received = b''
         except SOCKET_ERRORS as exc:
-            raise BrokenCallError('reset by the server') from exc
+            raise BrokenCallError('connection reset by the server') from exc
         self.protocol.receive_data(received)
 
     async def _write(self, outgoing: bytes) -> None:
         try:
             await self.stream.send(outgoing)
         except SOCKET_ERRORS as exc:
-            raise BrokenCallError('reset while sending') from exc
+            raise BrokenCallError(
+                'connection reset while the request was sent'
+            ) from exc
 
 
 def _framed_headers(call: HttpCall, host: str) -> Headers:
@@ -281,7 +292,7 @@
 
     Raises:
         NobodyListensError: the host refused the connection.
-        NotSentError: nobody accepted in time.
+        NotSentError: the connection was not established in time.
     """
     host, _, port = address.rpartition(':')
     try:
@@ -289,7 +300,11 @@
             stream = await anyio.connect_tcp(host, int(port))
     except (OSError, TimeoutError) as exc:
         if isinstance(exc.__cause__, ConnectionRefusedError):
-            raise NobodyListensError('nobody listens there') from exc
-        raise NotSentError(f'no connection: {type(exc).__name__}') from exc
+            raise NobodyListensError(
+                'connection refused: no process listens there'
+            ) from exc
+        raise NotSentError(
+            f'connection not established: {type(exc).__name__}'
+        ) from exc
     enable_keepalive(stream)
     return Connection(stream, address)
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/errors.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/errors.py
@@ -1,36 +1,36 @@
-"""Type the ways in which a call over the network fails."""
+"""Define the errors of calls over the network."""
 
 
 class CallError(Exception):
-    """Say that a call did not get a whole answer, and why."""
+    """Report that a call got no complete response, and why."""
 
     def __init__(self, reason: str) -> None:
-        """Hold the reason as text for a log line."""
+        """Store the reason as text for log lines."""
         super().__init__(reason)
         self.reason = reason
 
 
 class NotSentError(CallError):
-    """Say that no byte of a call was sent, so it had no effect."""
+    """Report that no byte of a call was sent, so it had no effect."""
 
 
 class NobodyListensError(NotSentError):
-    """Say that a host is there and no process listens at the address."""
+    """Report that the host is up but no process listens at the address."""
 
 
 class BrokenCallError(CallError):
-    """Say that a call was sent and its answer did not come whole."""
+    """Report that a call was sent but its response was not complete."""
 
 
 class CallerGoneError(Exception):
-    """Say that the caller closed its connection before the answer's end."""
+    """Report that the caller disconnected before the end of the response."""
 
 
 class BadRequestError(Exception):
-    """Say why a request of a caller is not served, as an HTTP status."""
+    """Report why a request of a caller is rejected, as an HTTP status."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Hold the status of the answer and the reason for the log."""
+        """Store the status of the response and the reason for the log."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/logs.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/logs.py
@@ -1,7 +1,7 @@
-"""Write the log as JSON lines to standard output, within a budget.
+"""Write the log as JSON lines to standard output, with a rate limit.
 
-Lines beyond the budget of a second are left out and counted; the next line
-that is written says how many.
+Lines beyond the limit per second are dropped and counted; the next line that
+is written contains their number.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Leave out lines beyond a number a second."""
+    """Drop lines beyond a number per second."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         lines_per_second: int,
         dropped: Counter,
     ) -> None:
-        """Count by the seconds of a steady clock."""
+        """Count lines per second of a monotonic clock."""
         super().__init__()
         self._clock = clock
         self._max_lines = lines_per_second
@@ -33,7 +33,7 @@
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Keep a line within the budget; errors are always kept."""
+        """Decide whether a line is written; errors always are."""
         second = int(self._clock())
         if second != self._second:
             self._second = second
@@ -50,7 +50,7 @@
 
 
 def set_up_logging(rate_limiter: LogRateLimiter, node: str) -> None:
-    """Send the log of this node to standard output."""
+    """Write the log of this node to standard output."""
     handler = logging.StreamHandler(sys.stdout)
     handler.addFilter(rate_limiter)
     handler.setFormatter(JsonFormatter(_FIELDS, static_fields={'node': node}))
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/pool.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/pool.py
@@ -1,4 +1,4 @@
-"""Keep idle connections to servers, and make single calls over them."""
+"""Pool idle connections to servers and make single calls over them."""
 
 from dataclasses import dataclass, field
 
@@ -12,20 +12,20 @@
 
 @dataclass(slots=True)
 class IdleConnection:
-    """Hold an idle connection and the task that watches it."""
+    """Hold an idle connection and the state of the task that watches it."""
 
     conn: Connection
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     watched: anyio.Event = field(default_factory=anyio.Event)
 
     async def stop_watching(self) -> None:
-        """End the watching task and wait until it has let go."""
+        """Cancel the watching task and wait until it has ended."""
         self.scope.cancel()
         await self.watched.wait()
 
 
 class ConnectionPool:
-    """Keep idle connections to servers, each watched by a task."""
+    """Pool idle connections to servers, each watched by a task."""
 
     def __init__(self, tasks: TaskGroup) -> None:
         """Use the task group for the watchers of idle connections."""
@@ -34,7 +34,7 @@
         self._in_use: dict[str, set[Connection]] = {}
 
     def open_connections(self, key: str) -> set[Connection]:
-        """Return the connections to a server's lifetime that are open."""
+        """Return the open connections to one lifetime of a server."""
         idle = {idle_conn.conn for idle_conn in self._idle.get(key, ())}
         known = idle | self._in_use.get(key, set())
         return {conn for conn in known if not conn.is_closed}
@@ -45,10 +45,10 @@
         address: str,
         timeout: float,
     ) -> Connection:
-        """Return an idle connection of a server's lifetime or a new one.
+        """Return an idle connection to one lifetime of a server, or a new one.
 
         Raises:
-            NotSentError: nobody accepted in time.
+            NotSentError: the connection was not established in time.
         """
         idle = self._idle.get(key, [])
         while idle:
@@ -64,7 +64,7 @@
         return conn
 
     async def release(self, key: str, conn: Connection) -> None:
-        """Keep a connection for another request, or close it."""
+        """Return a connection to the pool, or close it if it is not reusable."""
         in_use = self._in_use.get(key, set())
         in_use.discard(conn)
         if not in_use:
@@ -97,7 +97,7 @@
     timeout: float,
     most: int = 8_000_000,
 ) -> HttpReply:
-    """Make one call and return its whole answer.
+    """Make one call and return its complete response.
 
     Raises:
         NotSentError: the call had no effect.
@@ -111,7 +111,9 @@
             body = await conn.read_body(most)
     except TimeoutError as exc:
         await conn.close()
-        raise BrokenCallError('no answer in time') from exc
+        raise BrokenCallError(
+            'no complete response within the time-out'
+        ) from exc
     except BaseException:
         await conn.close()
         raise
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/ports.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/ports.py
@@ -1,7 +1,7 @@
-"""State what a platform's adapter provides: names and translation only.
+"""Define the interface of platform adapters: names and translation only.
 
-An adapter is a value of plain functions. It makes no decision, keeps no
-state and does no input or output.
+An adapter is a value made of pure functions: it takes no decisions, keeps no
+state and does no I/O.
 """
 
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 
 
 class InvalidRecordError(ValueError):
-    """Say why bytes that were read are not the record that was expected."""
+    """Report why the bytes read are not a valid record."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpCall:
-    """Describe one call to a service of the platform."""
+    """Describe one HTTP call to a service of the platform."""
 
     method: str
     target: str
@@ -30,27 +30,27 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """Hold a whole answer."""
+    """Hold a complete HTTP response."""
 
     status: int
     headers: Headers
     body: bytes
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a header in lower case, or nothing."""
+        """Return the first value of a header by its lower-case name, or b''."""
         return next((text for key, text in self.headers if key == name), b'')
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Name the headers between callers, nodes and upstreams; lower case."""
+    """Name the headers between callers, nodes and upstreams, in lower case."""
 
     attempt_id: bytes
     deadline_ms: bytes
     prompt_parts: bytes
     token_counts: bytes
     last_event_id: bytes
-    #: The upstream's mark on its own answer.
+    #: Set by an upstream on the responses that it generates itself.
     signature: bytes
     workspace: bytes
     expected_lifetime: bytes
@@ -58,15 +58,15 @@
     load: bytes
     not_run: bytes
     engine_priority: bytes
-    #: The scheme of the key in the authorization header.
+    #: Authentication scheme of keys in the authorization header.
     key_scheme: bytes
-    #: Headers that only a node may set; what callers send is dropped.
+    #: Headers that only nodes may set; they are removed from callers' requests.
     set_by_nodes: frozenset[bytes] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class StoredItem:
-    """Hold one item of the store."""
+    """Hold one item read from the store."""
 
     key: str
     content: bytes
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Describe one item to be written."""
+    """Describe one item to write."""
 
     key: str
     content: bytes
@@ -95,13 +95,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreDialect:
-    """Build the calls of the store and read their answers."""
+    """Build calls to the store and decode their responses."""
 
     configuration_key: str
     upstream_prefix: str
     get: Callable[[str], HttpCall]
     list_items: Callable[[str, str], HttpCall]
-    #: Expected revisions, what is written, and keys that are removed.
+    #: Arguments: expected revisions, items to write, keys to remove.
     transact: Callable[
         [dict[str, int], tuple[Write, ...], tuple[str, ...]],
         HttpCall,
@@ -113,32 +113,33 @@
     read_listing: Callable[[bytes], Listing]
     read_revision: Callable[[bytes], int]
     read_lease: Callable[[bytes], int]
-    #: The timeline that an answer is from; None: it does not say. A store that
-    #: was restored from a copy is on the next one.
+    #: Timeline of a response; None if the response does not contain it. A
+    #: store that is restored from a backup starts the next timeline.
     read_timeline: Callable[[Headers], int | None]
 
 
 @dataclass(frozen=True, slots=True)
 class CloudDialect:
-    """Build the calls that one node makes for all; each names its holder."""
+    """Build the calls that one node makes for the fleet as holder of a duty."""
 
-    #: Holder, fencing token, window and counts by workspace.
+    #: Arguments: holder, fencing token, window, counts by workspace.
     report_usage: Callable[[str, int, int, dict[str, int]], HttpCall]
-    #: Holder, fencing token, service, data centre, count, reclaimable.
+    #: Arguments: holder, fencing token, service, data centre, count,
+    #: reclaimable.
     order_upstreams: Callable[[str, int, str, str, int, bool], HttpCall]
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformAdapter:
-    """Hold all that a node knows of the platform it runs on."""
+    """Hold all platform-specific names and functions of a node."""
 
     names: HeaderNames
     store: StoreDialect
     cloud: CloudDialect
     readiness_path: str
-    #: The item's content; raises InvalidRecordError.
+    #: Argument: content of the item. Raises InvalidRecordError.
     read_configuration: Callable[[bytes], ServedConfiguration]
-    #: Key in the store and the item's content.
+    #: Arguments: key in the store, content of the item.
     read_upstream: Callable[[str, bytes], ListedUpstream | UnusableEntry]
-    #: Status and headers of an upstream's answer.
+    #: Arguments: status and headers of an upstream's response.
     read_statement: Callable[[int, Headers], Statement]
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/sockets.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/sockets.py
@@ -1,28 +1,29 @@
-"""Set up sockets, and name the ways in which they end."""
+"""Configure sockets and name the errors that end a connection."""
 
 import socket
 
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-#: Connections that may wait to be accepted. All entries link to a new home at
-#: one moment: beyond the usual 100, the opening packets of the others were
-#: dropped and came again after more than a second.
+#: Length of the queue of connections to accept. All entries connect to a new
+#: home at the same moment: with the usual 100, further SYN packets were
+#: dropped and retransmitted only after more than a second.
 BACKLOG = 1024
-#: Bytes read from a socket at a time.
+#: Maximum bytes per read from a socket.
 READ_BYTES = 65536
-#: Milliseconds after which bytes that nobody acknowledges end a connection:
-#: before a caller gives up on a stream that pauses (4 s at the users'), and
-#: long enough for a lossy link and for a server that is slow to read.
+#: Milliseconds after which unacknowledged data ends a connection: less than
+#: the time-out of callers for a stalled stream (4 s for the users), and long
+#: enough for a lossy network and for a server that reads slowly.
 TCP_USER_TIMEOUT_MS = 3000
-#: Seconds of silence after which the other end is probed, and seconds between
-#: two probes. A host without power says nothing; only this shows it.
+#: Idle seconds before the first keep-alive probe, and seconds between two
+#: probes. A host that lost power closes no connection, so only unanswered
+#: probes reveal it.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
-#: Probes without an answer that end a connection.
+#: Number of unanswered probes after which a connection is closed.
 MAX_KEEPALIVE_PROBES = 2
 
-#: What a socket raises when its connection is over.
+#: Errors that a socket raises when its connection has ended.
 SOCKET_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -40,7 +41,7 @@
 
 
 def enable_keepalive(stream: SocketStream) -> None:
-    """Let the system end a connection whose other end cannot be reached."""
+    """Let the kernel close a connection whose peer is unreachable."""
     raw = stream.extra(SocketAttribute.raw_socket)
     for level, option, setting in _SOCKET_OPTIONS:
         raw.setsockopt(level, option, setting)
--- a/packages/spanfall-node/src/spanfall_node/gateway/program.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/program.py
@@ -1,4 +1,4 @@
-"""Run a gateway: read settings, build the tables, start all parts."""
+"""Run a gateway: build its state and start all components."""
 
 import importlib
 import logging
@@ -41,19 +41,19 @@
 
 logger = logging.getLogger(__name__)
 
-#: Bytes of the random name of one run of the process.
+#: Bytes of the random identifier of one run of the process.
 INCARNATION_BYTES = 6
-#: Seconds before a part that failed is started again.
+#: Seconds before a failed component is restarted.
 RESTART_SECONDS = 0.5
 
 
 def load_adapter(module_name: str) -> PlatformAdapter:
-    """Return the adapter of the platform that the settings name."""
+    """Import the adapter of the configured platform."""
     return importlib.import_module(module_name).ADAPTER
 
 
 def run_gateway(cfg: GatewaySettings, path: Path) -> None:
-    """Run a gateway in the foreground until it is told to stop."""
+    """Run a gateway in the foreground until it receives a stop signal."""
     timers = Timers(steady_seconds, time.time)
     state = build_state(
         cfg,
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Gateway:
-    """Hold the parts of a running gateway that stop it."""
+    """Hold the components of a running gateway that its shutdown needs."""
 
     state: GatewayState
     callers: Callers
@@ -81,7 +81,7 @@
 
 
 async def _run(state: GatewayState, path: Path) -> None:
-    logger.info('Gateway starts in %s', state.cfg.data_centre)
+    logger.info('Gateway is starting in data centre %s', state.cfg.data_centre)
     async with anyio.create_task_group() as tasks:
         gateway = start_gateway(state, tasks)
         tasks.start_soon(SettingsWatch(state, path).run)
@@ -96,7 +96,7 @@
 
 
 def start_gateway(state: GatewayState, tasks: TaskGroup) -> Gateway:
-    """Start all parts that serve, in a task group of the caller."""
+    """Start all components of the gateway in a task group of the caller."""
     pool = ConnectionPool(tasks)
     store = StoreClient(state, pool)
     sync = Sync(state, store)
@@ -147,12 +147,12 @@
 
 
 async def _restart_on_failure(part: Callable[[], Awaitable[None]]) -> None:
-    """Start a part again when it fails, so that the node goes on."""
+    """Run a component and restart it when it fails or ends."""
     while True:
         try:
             await part()
         except Exception:
-            logger.exception('A part failed and is started again')
+            logger.exception('A component failed; restarting it')
         await anyio.sleep(RESTART_SECONDS)
 
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/settings_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notice that the settings file has changed, with or without a signal."""
+"""Reload the settings file when it changes or on SIGHUP."""
 
 import logging
 import signal
@@ -14,12 +14,12 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two looks at the file.
+#: Seconds between two reads of the file.
 POLL_SECONDS = 2.0
 
 
 class SettingsWatch:
-    """Take over changed settings that need no restart."""
+    """Apply changed settings that need no restart."""
 
     def __init__(self, state: GatewayState, path: Path) -> None:
         """Watch the file that the settings were read from."""
@@ -27,7 +27,7 @@
         self._path = path
 
     async def run(self) -> None:
-        """Look at the file from time to time and at each SIGHUP."""
+        """Read the file periodically and on each SIGHUP."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reload_on_signal)
             while True:
@@ -37,18 +37,22 @@
     async def _reload_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
             async for _ in signals:
-                logger.info('SIGHUP: reading the settings again')
+                logger.info('Received SIGHUP: reloading the settings')
                 self._reload()
 
     def _reload(self) -> None:
         try:
             cfg = read_settings(self._path)
         except GatewaySettingsError as exc:
-            logger.error('Kept the settings, the new ones are wrong: %s', exc)
+            logger.error(
+                'Invalid new settings, keeping the current ones: %s', exc
+            )
             return
         if cfg == self._state.cfg:
             return
-        logger.info('Took over changed settings')
+        logger.info('Applied changed settings')
         if cfg.listen != self._state.cfg.listen:
-            logger.warning('New addresses to listen on need a restart')
+            logger.warning(
+                'Changed listen addresses take effect only after a restart'
+            )
         self._state.cfg = cfg
