--- a/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
@@ -185,7 +185,7 @@
             parts.append(part)
             size += len(part)
             if size > most:
-                raise BrokenCallError('response body is too large')
+                raise BrokenCallError('the answer is too large')
 
     async def close(self) -> None:
         """Close the connection at once and discard unread data."""
@@ -225,9 +225,7 @@
         new_protocol = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         new_protocol.send(self._sent_request)
         if closed:
-            raise BrokenCallError(
-                'connection closed after the response to another request'
-            )
+            raise BrokenCallError('closed after the answer to another request')
         if rest:
             new_protocol.receive_data(rest)
         self.protocol = new_protocol
@@ -248,16 +246,14 @@
             try:
                 event = self.protocol.next_event()
             except h11.RemoteProtocolError as exc:
-                raise BrokenCallError(f'invalid HTTP response: {exc}') from exc
+                raise BrokenCallError(f'not an answer: {exc}') from exc
             if event is not h11.NEED_DATA:
                 return self._check_event(event)
             await self._receive()
 
     def _check_event(self, event: object) -> h11.Event:
         if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-            raise BrokenCallError(
-                'connection closed before the response was complete'
-            )
+            raise BrokenCallError('closed without an answer')
         return event
 
     async def _receive(self) -> None:
@@ -266,16 +262,14 @@
         except anyio.EndOfStream:
             received = b''
         except SOCKET_ERRORS as exc:
-            raise BrokenCallError('connection reset by the server') from exc
+            raise BrokenCallError('reset by the server') from exc
         self.protocol.receive_data(received)
 
     async def _write(self, outgoing: bytes) -> None:
         try:
             await self.stream.send(outgoing)
         except SOCKET_ERRORS as exc:
-            raise BrokenCallError(
-                'connection reset while the request was sent'
-            ) from exc
+            raise BrokenCallError('reset while sending') from exc
 
 
 def _framed_headers(call: HttpCall, host: str) -> Headers:
@@ -300,11 +294,7 @@
             stream = await anyio.connect_tcp(host, int(port))
     except (OSError, TimeoutError) as exc:
         if isinstance(exc.__cause__, ConnectionRefusedError):
-            raise NobodyListensError(
-                'connection refused: no process listens there'
-            ) from exc
-        raise NotSentError(
-            f'connection not established: {type(exc).__name__}'
-        ) from exc
+            raise NobodyListensError('nobody listens there') from exc
+        raise NotSentError(f'no connection: {type(exc).__name__}') from exc
     enable_keepalive(stream)
     return Connection(stream, address)
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""Read and write the platform's store: calls, lists, records of the home."""
+"""Access the platform's store: calls, listings and records of the home."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
@@ -1,4 +1,4 @@
-"""Learn the operator's configuration, from the store or the home."""
+"""Update the operator's configuration from the store or the home."""
 
 import logging
 
@@ -16,34 +16,34 @@
 
 
 class ConfigurationSync:
-    """Keep the configuration in force up to date, and prove it so."""
+    """Keep the current configuration up to date and confirm that it is."""
 
     def __init__(self, state: GatewayState, store: StoreClient) -> None:
-        """Use the tables and the store of the node."""
+        """Use the state and the store client of the node."""
         self._state = state
         self._store = store
-        #: Revision of the item as it was last read; 0: never.
+        #: Revision of the item when it was last read; 0: not read yet.
         self._read_revision = 0
-        #: Timeline of the store on which the operator was seen to write.
+        #: Timeline on which a write of the operator was observed.
         self._written_timeline: int | None = None
-        #: Version last read that is older than the one in force.
+        #: Last version read that is older than the current one.
         self._older_version: int | None = None
 
     async def read(self) -> None:
         """Read the configuration from the store.
 
         Raises:
-            StoreError: it cannot be read.
-            InvalidRecordError: it is none.
+            StoreError: the read failed.
+            InvalidRecordError: the item is not a valid configuration.
         """
         state = self._state
         began_at = state.timers.now()
         item = await self._store.get(state.platform.store.configuration_key)
         if item is None:
-            logger.info('The store holds no configuration yet')
+            logger.info('The store contains no configuration yet')
             if state.configuration is None:
-                # That there is none is known as well: entries that hear it
-                # need not ask the store too, each on its own.
+                # The absence of a configuration is confirmed as well, so
+                # that the entries need not each read the store themselves.
                 state.freshness.prove(began_at)
             return
         version = state.version
@@ -54,19 +54,19 @@
             state.freshness.prove(began_at)
 
     def apply_reported(self, source: bytes, proved_at: float) -> None:
-        """Take over a configuration that was proved the newest at a time.
+        """Apply a configuration that was confirmed to be the newest.
 
         Raises:
-            InvalidRecordError: it is none.
+            InvalidRecordError: the source is not a valid configuration.
         """
         if self._apply(source):
             self._state.freshness.prove(proved_at)
 
     def _apply(self, source: bytes) -> bool:
-        """Use a configuration; tell whether its version is no older one.
+        """Apply a configuration unless it is older; return False if it is.
 
-        Only the operator's version tells which one is newer: the store may
-        have been restored from a copy that holds an older one.
+        Only the operator's version number decides which one is newer: the
+        store may have been restored from a backup with an older one.
         """
         state = self._state
         known = state.configuration
@@ -79,7 +79,7 @@
         state.configuration = read
         state.configuration_source = source
         logger.info(
-            'Configuration %s is in force; it replaces %s',
+            'Applied configuration version %s (previous version: %s)',
             read.version,
             known.version if known else None,
         )
@@ -88,7 +88,7 @@
     def _log_older(self, version: int, known: int) -> None:
         if version != self._older_version:
             logger.warning(
-                'Left out configuration %s, which is older than %s',
+                'Ignored configuration version %s: older than the current %s',
                 version,
                 known,
             )
@@ -100,7 +100,7 @@
         *,
         is_newer: bool,
     ) -> None:
-        """Note the timeline if the operator has written the item on it."""
+        """Record the timeline if the operator has written the item on it."""
         number = revision_of(item.revision)
         before = revision_of(self._read_revision)
         if is_newer or before not in {0, number}:
@@ -108,10 +108,10 @@
         self._read_revision = item.revision
 
     def _is_complete(self, began_at: float) -> bool:
-        """Tell whether the store holds the operator's last version.
+        """Check whether the store holds the operator's latest version.
 
-        A copy that it was restored from may lack one that no node has read,
-        until the operator has written it again.
+        A store restored from a backup may lack a version that no node has
+        read, until the operator has written it again.
         """
         store = self._store
         if not store.was_restored or self._written_timeline == store.timeline:
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/crash_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/crash_record.py
@@ -1,7 +1,7 @@
-"""Keep in the store which requests are not served any more.
+"""Record the quarantined requests in the store.
 
-It is written with each quarantine, for a restart of all nodes and for entries
-that reach the store and not the home.
+The record is written on each quarantine. It serves a restart of all nodes and
+entries that reach the store but not the home.
 """
 
 import logging
@@ -19,18 +19,19 @@
 
 logger = logging.getLogger(__name__)
 
-#: Key of the record.
+#: Key of the record in the store.
 CRASHES_KEY = 'spanfall/crashes'
-#: Seconds between two looks at whether the record is old.
+#: Seconds between two checks whether the record is outdated.
 POLL_SECONDS = 0.25
-#: Seconds between two reads of an entry that does not hear the home: with the
-#: home's write this stays under the three seconds for which platforms bear
-#: that not all know; 570 entries make 285 calls a second.
+#: Seconds between two reads of an entry without contact to the home. Together
+#: with the home's write this stays below the three seconds within which
+#: platforms require that all entries apply a quarantine; 570 entries make 285
+#: calls per second.
 READ_PERIOD = 2.0
 
 
 class CrashRecordContent(msgspec.Struct, frozen=True):
-    """Hold for how long each request was not to be sent as it was written."""
+    """Hold the remaining quarantine of each request at the time of writing."""
 
     quarantined: Quarantined
 
@@ -39,14 +40,14 @@
     """Write and read the record."""
 
     def __init__(self, state: GatewayState, store: StoreClient) -> None:
-        """Use the tables of the node and the store."""
+        """Use the state and the store client of the node."""
         self._state = state
         self._store = store
         self._written: frozenset[RequestIdentity] = frozenset()
         self._read_at = float('-inf')
 
     async def read(self) -> None:
-        """Learn what the record holds.
+        """Read the record and merge its quarantined requests.
 
         Raises:
             StoreError: the record cannot be read.
@@ -64,7 +65,10 @@
         self._state.crashes.merge_quarantined(content.quarantined, now)
 
     async def run(self) -> None:
-        """Write it as the home, read it without one, until cancelled."""
+        """Keep the record and this node in sync, until cancelled.
+
+        The home writes the record; an entry without a home reads it.
+        """
         while True:
             with anyio.move_on_after(POLL_SECONDS):
                 await self._state.crashes.changed.wait()
@@ -72,7 +76,7 @@
             try:
                 await self._sync_record(now)
             except StoreError as exc:
-                logger.info('Could not keep the record of crashes: %r', exc)
+                logger.info('Could not read or write the crash record: %r', exc)
                 await anyio.sleep(POLL_SECONDS)
 
     async def _sync_record(self, now: float) -> None:
@@ -91,7 +95,7 @@
         self._written = frozenset(quarantined)
 
     def _is_standalone(self, now: float) -> bool:
-        """Tell whether no home tells this node of quarantines."""
+        """Check whether no home reports quarantines to this node."""
         state = self._state
         if state.tenure is not None:
             return False
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/home_records.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/home_records.py
@@ -1,4 +1,4 @@
-"""Hold the records that each home leaves in the store for the next."""
+"""Group the records that each home writes to the store for the next one."""
 
 from dataclasses import dataclass
 
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HomeRecords:
-    """Hold what was spent and is needed, and what ends upstreams."""
+    """Hold the records of spending, needed upstreams and crashes."""
 
     spending: QuotaRecord
     needs: NeedsRecord
     crashes: CrashRecord
 
     async def reload(self) -> None:
-        """Learn what the store holds, to write anew what it has lost.
+        """Read all records again, so that lost contents are rewritten.
 
         Raises:
-            StoreError: a record cannot be read.
+            StoreError: a read failed.
         """
         await self.spending.read()
         await self.needs.read()
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/needs_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/needs_record.py
@@ -1,9 +1,9 @@
-"""Keep in the store how many upstreams the fleet needs, for the next home.
+"""Record in the store how many upstreams the fleet needs, for the next home.
 
-Entries hear it with each table; after all processes were killed only the store
-knows it. A home that learned the need anew took what callers could still send
-for all they wanted: it sent a third of the upstreams away, and they were
-missing four seconds later.
+Entries receive the numbers with each table, but after all processes were
+killed only the store has them. A home that determined them anew mistook the
+traffic that the remaining capacity admitted for the whole demand: it released
+a third of the upstreams, and they were missing four seconds later.
 """
 
 import logging
@@ -18,19 +18,19 @@
 
 logger = logging.getLogger(__name__)
 
-#: Key of the record.
+#: Key of the record in the store.
 NEEDS_KEY = 'spanfall/needs'
-#: Seconds between two looks at whether the record is old: a call in five
-#: seconds or so, where the load changes.
+#: Seconds between two checks whether the record is outdated. Under changing
+#: load this results in about one call every five seconds.
 POLL_SECONDS = 1.0
-#: Part by which a need differs from the record that is written anew, and the
-#: upstreams that it differs by at least.
+#: Minimum differences between a need and the record at which the record is
+#: rewritten: as a fraction of the need and in upstreams.
 CHANGED_FRACTION = 0.15
 MIN_CHANGE = 0.5
 
 
 class NeedsContent(msgspec.Struct, frozen=True):
-    """Hold the upstreams needed, by service."""
+    """Hold the number of needed upstreams by service."""
 
     needs: dict[str, float]
 
@@ -39,7 +39,7 @@
     """Write and read the record."""
 
     def __init__(self, state: GatewayState, store: StoreClient) -> None:
-        """Use the tables of the node and the store."""
+        """Use the state and the store client of the node."""
         self._state = state
         self._store = store
         self._written: dict[str, float] = {}
@@ -47,10 +47,10 @@
     async def read(self) -> dict[str, float]:
         """Return the needs that a new home starts with.
 
-        What the home before told is newer than what it wrote.
+        Needs received from the previous home are newer than its record.
 
         Raises:
-            StoreError: the record cannot be read.
+            StoreError: the read failed.
         """
         if self._state.needs:
             self._written = {}
@@ -65,7 +65,7 @@
         return dict(content.needs)
 
     async def run(self) -> None:
-        """Write the record when it is old, until cancelled."""
+        """Rewrite the record whenever it is outdated, until cancelled."""
         while True:
             await anyio.sleep(POLL_SECONDS)
             now = self._state.timers.now()
@@ -86,6 +86,8 @@
         try:
             await self._store.write_as_home(self._state.tenure, write)
         except StoreError as exc:
-            logger.info('Could not record the needs: %r', exc)
+            logger.info(
+                'Could not write the record of needed upstreams: %r', exc
+            )
         else:
             self._written = needs
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
@@ -1,8 +1,8 @@
-"""Keep in the store what pressing workspaces spent, for the next home.
+"""Record the spending of workspaces with high usage, for the next home.
 
-When all nodes are killed at once nobody else knows it. The record is written
-while a workspace uses a quarter of its limit, a call a second at the usual
-load, and once more, empty, when none does any longer.
+When all nodes are killed at once, only the store still has it. The record is
+written while any workspace uses at least a quarter of its limit, about one
+call per second under usual load, and once more, empty, when none does.
 """
 
 import logging
@@ -23,22 +23,24 @@
 
 logger = logging.getLogger(__name__)
 
-#: Key of the record.
+#: Key of the record in the store.
 SPENDING_KEY = 'spanfall/spending'
-#: Seconds between two records, and between two looks at whether a workspace
-#: spent so much since the last one that it is written sooner: what is spent
-#: after the last record is what may run twice once all nodes are killed.
+#: Seconds between two writes of the record, and between two checks whether a
+#: workspace has spent enough since then for an earlier write. Units spent
+#: after the last write may be spent again when all nodes are killed.
 RECORD_PERIOD = 1.0
 POLL_SECONDS = 0.25
-#: Part of a limit that is so much: half of the part that platforms tolerate.
+#: Fraction of a limit whose spending triggers an earlier write: half of the
+#: overage that platforms tolerate.
 EARLY_WRITE_FRACTION = 0.05
 
 
 class SpendingRecord(msgspec.Struct, frozen=True):
     """Hold spending by workspace and age in seconds.
 
-    It has no time: clocks of hosts may jump, and a record of a workspace that
-    presses no more is replaced, so what it holds was spent lately.
+    It contains no timestamp, since the clocks of hosts may jump. It is
+    replaced when a workspace drops below the threshold, so its contents are
+    always recent.
     """
 
     spent: dict[str, list[float]]
@@ -48,18 +50,18 @@
     """Write and read the record."""
 
     def __init__(self, state: GatewayState, store: StoreClient) -> None:
-        """Use the tables of the node and the store."""
+        """Use the state and the store client of the node."""
         self._state = state
         self._store = store
-        #: What the record in the store holds; None: there is none.
+        #: Sums in the stored record, by workspace; None: no record exists.
         self._written: dict[str, float] | None = None
         self._written_at = float('-inf')
 
     async def read(self) -> SharedLevels:
-        """Return the levels that a new home starts with.
+        """Return the quota levels that a new home starts with.
 
         Raises:
-            StoreError: the record cannot be read.
+            StoreError: the read failed.
         """
         item = await self._store.get(SPENDING_KEY)
         bounds = self._state.cfg.bounds
@@ -69,13 +71,13 @@
             return SharedLevels(tolerance)
         record = decode_record(item, SpendingRecord)
         if record is None:
-            # The least that a new home takes as spent stands for it.
+            # A new home then assumes only its minimum spending.
             record = SpendingRecord({})
         self._written = _sums(record.spent)
         return SharedLevels(tolerance, FleetSpending(record.spent))
 
     async def run(self) -> None:
-        """Write the record while it is needed, until cancelled."""
+        """Write the record whenever it is due, until cancelled."""
         while True:
             await anyio.sleep(POLL_SECONDS)
             now = self._state.timers.now()
@@ -91,7 +93,7 @@
             await self._write(to_record, now)
 
     def _is_early_due(self, sums: dict[str, float], now: float) -> bool:
-        """Tell whether a workspace spent much since the last record."""
+        """Check whether a workspace spent much since the last write."""
         limits = self._state.limits_at(now)
         written = self._written or {}
         recorded = {
@@ -115,7 +117,7 @@
         try:
             await self._store.write_as_home(self._state.tenure, write)
         except StoreError as exc:
-            logger.info('Could not record the spending: %r', exc)
+            logger.info('Could not write the record of spending: %r', exc)
             return
         self._written = _sums(to_record)
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
@@ -1,7 +1,7 @@
-"""Call the platform's store; the one client of it.
+"""Provide the only client of the platform's store.
 
-Each call has its own deadline and ends in one of three ways: an answer, a
-refusal that had no effect, or an outcome that nobody knows.
+Each call has its own time-out and ends in one of three ways: a response, a
+rejection without any effect, or an unknown outcome.
 """
 
 import logging
@@ -29,86 +29,86 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds that a call may take; the store answers in milliseconds, and
-#: fifty times as slowly on a bad day.
+#: Time-out of a call in seconds; the store usually responds within
+#: milliseconds, and occasionally fifty times as slowly.
 CALL_TIMEOUT_SECONDS = 1.2
 
 Content = TypeVar('Content')
 
 
 class StoreError(Exception):
-    """Say that a call to the store brought no result."""
+    """Report that a call to the store returned no result."""
 
 
 class StoreRefusedError(StoreError):
-    """Say that a call had no effect."""
+    """Report that a call had no effect."""
 
 
 class StoreUncertainError(StoreError):
-    """Say that a call may have had an effect, now or seconds later."""
+    """Report that a call may take effect, now or seconds later."""
 
 
 class StoreRestoredError(StoreError):
-    """Say that the store was restored from a copy meanwhile."""
+    """Report that the store was restored from a backup meanwhile."""
 
 
 class ConditionFailedError(StoreError):
-    """Say that an item was changed since it was read."""
+    """Report that an item was changed since it was read."""
 
 
 class LeaseLostError(StoreError):
-    """Say that a lease has ended."""
+    """Report that a lease has expired."""
 
 
 @dataclass(slots=True)
 class StoreHealth:
-    """Hold when the store last began to answer again after an outage."""
+    """Track whether the store responds and when its last outage ended."""
 
     failing: bool = False
     outage_ended: float = float('-inf')
 
     def record(self, answered: bool, now: float) -> None:
-        """Note the end of a call."""
+        """Record whether a call was answered."""
         if answered and self.failing:
             self.outage_ended = now
-            logger.info('The store answers again')
+            logger.info('The store responds again')
         if not answered and not self.failing:
-            logger.warning('The store does not answer; going on without')
+            logger.warning('The store does not respond; continuing without it')
         self.failing = not answered
 
 
 class StoreClient:
-    """Make calls to the store in the platform's dialect."""
+    """Call the store through the platform's adapter."""
 
     def __init__(self, state: GatewayState, pool: ConnectionPool) -> None:
-        """Use the node's settings and connections."""
+        """Use the state and the connection pool of the node."""
         self._state = state
         self._pool = pool
         self._dialect = state.platform.store
         self.health = StoreHealth()
         self._timeline: int | None = None
-        #: When an answer first told of the timeline that the store is on.
+        #: Time at which the current timeline was first observed.
         self.timeline_since = float('-inf')
-        #: Whether an answer told of another one before.
+        #: Whether a response contained another timeline before.
         self.was_restored = False
 
     @property
     def timeline(self) -> int:
-        """Return the timeline that the store is on, as far as it is known."""
+        """Return the latest observed timeline of the store, or 0."""
         return self._timeline or 0
 
     async def get(self, key: str) -> StoredItem | None:
-        """Return an item as it is now, or None."""
+        """Return the current item of a key, or None."""
         reply = await self._call(self._dialect.get(key), missing_ok=True)
         if reply.status == 404:
             return None
         return self._with_timeline(_read(self._dialect.read_item, reply))
 
     async def list_items(self, prefix: str) -> Listing:
-        """Return all items below a prefix, page by page.
+        """Return all items under a prefix, read page by page.
 
         Raises:
-            StoreRestoredError: not all pages are of one timeline.
+            StoreRestoredError: the pages are not all of one timeline.
         """
         page = await self._page(prefix, '')
         items = list(page.items)
@@ -127,10 +127,10 @@
         write: Write,
         before: int | None = None,
     ) -> int:
-        """Write an item while a node certainly holds the home's record.
+        """Write an item on condition that this node holds the home record.
 
-        ``before`` is the revision that the item is to have; None: any. Raises
-        what ``transact`` does.
+        ``before`` is the expected revision of the item; None: any. Raises the
+        errors of ``transact``.
         """
         expected = {home_key(tenure.timeline): tenure.epoch}
         if before is not None:
@@ -144,12 +144,12 @@
         writes: tuple[Write, ...],
         removed: tuple[str, ...] = (),
     ) -> int:
-        """Write if the items still have the expected revisions.
+        """Write items if all expected revisions still match.
 
         Raises:
             ConditionFailedError: an item was changed; nothing was written.
-            LeaseLostError: a lease has ended; nothing was written.
-            StoreRestoredError: the store is not on that timeline any more.
+            LeaseLostError: a lease has expired; nothing was written.
+            StoreRestoredError: the store has left that timeline.
         """
         known = [revision for revision in expected.values() if revision]
         if any(timeline_of(revision) != timeline for revision in known):
@@ -164,10 +164,10 @@
         return on_timeline(timeline, _read(self._dialect.read_revision, reply))
 
     async def grant(self, timeline: int, seconds: float) -> int:
-        """Return a new lease.
+        """Create a lease and return its number.
 
         Raises:
-            StoreRestoredError: the store is not on that timeline any more.
+            StoreRestoredError: the store has left that timeline.
         """
         call = self._dialect.grant(int(seconds * 1000))
         reply = await self._call(call, timeline=timeline)
@@ -179,12 +179,12 @@
         lease: int,
         seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> None:
-        """Renew a lease that was given out on a timeline.
+        """Renew a lease that was granted on a timeline.
 
         Raises:
-            LeaseLostError: the lease has ended.
-            StoreRestoredError: the store is not on that timeline any more; the
-                lease may be another one that bears the same number.
+            LeaseLostError: the lease has expired.
+            StoreRestoredError: the store has left that timeline; another
+                lease may have the same number now.
         """
         reply = await self._call(
             self._dialect.renew(lease),
@@ -196,16 +196,16 @@
             raise LeaseLostError
 
     async def revoke(self, timeline: int, lease: int) -> None:
-        """End a lease that was given out on a timeline, and remove its items.
+        """Revoke a lease that was granted on a timeline and remove its items.
 
         Raises:
-            StoreRestoredError: the store is not on that timeline any more.
+            StoreRestoredError: the store has left that timeline.
         """
         call = self._dialect.revoke(lease)
         await self._call(call, missing_ok=True, timeline=timeline)
 
     def _with_timeline(self, item: StoredItem) -> StoredItem:
-        """Return an item just read, its revision with the timeline."""
+        """Return an item with the timeline added to its revision."""
         revision = on_timeline(self.timeline, item.revision)
         return replace(item, revision=revision)
 
@@ -221,7 +221,7 @@
         seconds: float = CALL_TIMEOUT_SECONDS,
         timeline: int | None = None,
     ) -> HttpReply:
-        """Make a call; one for a timeline fails if the store is on another."""
+        """Make a call, which fails if the store is not on ``timeline``."""
         self._check_timeline(timeline)
         now = self._state.timers.now
         counter = self._state.counters.store_calls
@@ -242,7 +242,9 @@
         if reply.status in {429, 503}:
             self.health.record(answered=False, now=now())
         if reply.status not in allowed:
-            raise StoreRefusedError(f'the store answered {reply.status}')
+            raise StoreRefusedError(
+                f'the store responded with status {reply.status}'
+            )
         self.health.record(answered=True, now=now())
         self._check_timeline(timeline)
         return reply
@@ -252,10 +254,10 @@
             raise StoreRestoredError
 
     def _record_timeline(self, reply: HttpReply) -> None:
-        """Note the timeline of an answer.
+        """Record the timeline of a response.
 
         Raises:
-            StoreRestoredError: it is from before the last restore.
+            StoreRestoredError: the response predates the last restore.
         """
         timeline = self._dialect.read_timeline(reply.headers)
         known = self._timeline
@@ -267,24 +269,26 @@
         self.timeline_since = self._state.timers.now()
         if known is not None:
             self.was_restored = True
-            # What was written after the copy is written again, as after an
-            # outage.
+            # Writes made after the backup are repeated, as after an outage.
             self.health.outage_ended = self.timeline_since
             self._state.counters.store_restores.inc()
             logger.warning(
-                'The store was restored from a copy: timeline %s after %s',
+                'The store was restored from a backup: timeline %s, was %s',
                 timeline,
                 known,
             )
 
 
 def _read(reader: Callable[[bytes], Content], reply: HttpReply) -> Content:
-    """Read what the store answered.
+    """Decode a response of the store.
 
     Raises:
-        StoreUncertainError: nobody can read it, though it may have acted.
+        StoreUncertainError: the response is invalid; the call may have had an
+            effect.
     """
     try:
         return reader(reply.body)
     except (ValueError, RecursionError) as exc:
-        raise StoreUncertainError(f'not an answer: {exc!r}') from exc
+        raise StoreUncertainError(
+            f'invalid response of the store: {exc!r}'
+        ) from exc
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/stored_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/stored_record.py
@@ -1,4 +1,4 @@
-"""Read the records that the nodes of a fleet leave in the store."""
+"""Decode the records that the nodes of a fleet write to the store."""
 
 import logging
 from typing import TypeVar
@@ -13,9 +13,11 @@
 
 
 def decode_record(item: StoredItem, kind: type[Record]) -> Record | None:
-    """Return the record that an item holds, or None if it holds none."""
+    """Decode the record in an item; return None if it is invalid."""
     try:
         return msgspec.json.decode(item.content, type=kind)
     except (ValueError, RecursionError):
-        logger.exception('The record %s cannot be read', item.key)
+        logger.exception(
+            'Invalid record %s in the store; ignoring it', item.key
+        )
         return None
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
@@ -1,7 +1,7 @@
-"""Learn the configuration and the upstreams, from the store or the home.
+"""Update the configuration and the upstreams from the store or the home.
 
-The home reads the store for all. Another node reads it too as soon as the
-home's word is old: then it is on its own.
+The home reads the store for the fleet. Another node reads it itself once the
+last confirmation from the home is too old.
 """
 
 import logging
@@ -19,34 +19,37 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two reads of the store. With the seconds until the home's
-#: next word this stays well under the two seconds in which a change is due.
+#: Seconds between two reads of the store. Together with the time until the
+#: home's next message this stays well below the two seconds within which a
+#: change must be applied.
 READ_PERIOD = 0.6
-#: Age of the newest proof, of the configuration or of the upstreams, at which
-#: a node reads the store itself.
+#: Age in seconds of the last confirmation, of the configuration or of the
+#: upstreams, beyond which a node reads the store itself.
 MAX_CONFIRMATION_AGE = 1.1
-#: Seconds that a healthy home's word takes beyond the two periods: its read,
-#: and the ways between data centres.
+#: Additional seconds that a healthy home's confirmation may take: its read of
+#: the store and the latency between data centres.
 CONFIRMATION_SLACK = 0.25
-#: Entries that read the store at the full pace when they are on their own;
-#: each of a larger fleet reads more rarely, since calls are limited and paid.
+#: Fleet size up to which entries without a home read the store at the full
+#: rate. In larger fleets each reads less often, since calls are limited and
+#: billed.
 FULL_RATE_ENTRIES = 25
-#: Longest time between two reads of such an entry, while the store answers
-#: and while it does not.
+#: Maximum seconds between two reads of such an entry, while the store responds
+#: and during an outage.
 MAX_READ_PERIOD = 1.2
 MAX_OUTAGE_READ_PERIOD = 2.0
-#: Seconds for which a node that starts leaves the store to the home: a link
-#: and a table take some hundredths, and 195 nodes that restart in turn made
-#: two calls each that told them the same. After a restart of all nobody tells
-#: anything so soon, and callers wait for as long.
+#: Seconds for which a starting node waits for the home before it reads the
+#: store, and seconds between two checks. A link and the first table take some
+#: hundredths of a second; without the wait, 195 nodes restarted one by one
+#: made two redundant calls each. After a restart of all nodes no home responds
+#: that soon, and callers wait for this time.
 STARTUP_WAIT_SECONDS = 0.06
 STARTUP_POLL_SECONDS = 0.01
-#: End of the last outage where there was none.
+#: Value of ``outage_ended`` if there was no outage.
 NO_OUTAGE = float('-inf')
 
 
 def read_period(entries: int, *, is_home: bool, failing: bool) -> float:
-    """Return the seconds between two reads of a node in such a fleet."""
+    """Return the seconds between two reads of the store by a node."""
     if is_home:
         return READ_PERIOD
     max_period = MAX_OUTAGE_READ_PERIOD if failing else MAX_READ_PERIOD
@@ -55,7 +58,7 @@
 
 
 def max_confirmation_age(entries: int) -> float:
-    """Return the age at which a proof is older than a healthy home's."""
+    """Return the age that a confirmation from a healthy home stays below."""
     return max(
         MAX_CONFIRMATION_AGE,
         READ_PERIOD + report_period(entries) + CONFIRMATION_SLACK,
@@ -70,15 +73,15 @@
         state: GatewayState,
         store: StoreClient,
     ) -> None:
-        """Use the tables and the store of the node."""
+        """Use the state and the store client of the node."""
         self._state = state
         self._store = store
-        #: Revision of each entry that cannot be used, by upstream.
+        #: Revision of each unusable entry, by upstream.
         self._unusable: dict[str, int] = {}
         self.configuration = ConfigurationSync(state, store)
 
     async def run(self) -> None:
-        """Read the store as often as this node has to, until cancelled."""
+        """Read the store whenever this node has to, until cancelled."""
         with anyio.move_on_after(STARTUP_WAIT_SECONDS):
             await self._wait_for_first_table()
         while True:
@@ -87,9 +90,9 @@
             await anyio.sleep(self._read_period())
 
     async def _wait_for_first_table(self) -> None:
-        """Wait until the home has told all, or cannot be reached.
+        """Wait for the first table from the home.
 
-        A node that is the home itself has nobody to wait for.
+        The wait ends if another home is found or this node becomes the home.
         """
         state = self._state
         while state.home is None:
@@ -99,7 +102,7 @@
             await anyio.sleep(STARTUP_POLL_SECONDS)
 
     def _is_awaiting(self, home: HomeRecord) -> bool:
-        """Tell whether a home that is another node is still to tell all."""
+        """Check whether the first table from ``home`` is still outstanding."""
         state = self._state
         if state.tenure is not None or state.home is not home:
             return False
@@ -119,11 +122,11 @@
 
     @property
     def is_store_reachable(self) -> bool:
-        """Tell whether the store answered the last call."""
+        """Return whether the store answered the last call."""
         return not self._store.health.failing
 
     async def check_store(self) -> bool:
-        """Tell whether the store answers this node now."""
+        """Call the store and return whether it responds."""
         await self._try_read_configuration()
         return self.is_store_reachable
 
@@ -135,10 +138,10 @@
         outage_ended: float = NO_OUTAGE,
         unusable: Collection[str] = (),
     ) -> None:
-        """Take over a listing of upstreams unless it is older.
+        """Apply a listing of upstreams unless it is older than the current one.
 
-        ``proved_at`` is when the read of it began, ``unusable`` names the
-        upstreams whose entries cannot be used.
+        ``proved_at`` is the time at which its read began. ``unusable``
+        contains the upstreams with unusable entries.
         """
         now = self._state.timers.now()
         if revision >= self._state.directory.revision:
@@ -153,7 +156,7 @@
         )
         for row in changed:
             logger.info(
-                'Upstream %s of %s leaves or went, by listing %s',
+                'Upstream %s of %s is leaving or gone, according to listing %s',
                 row.lifetime,
                 row.service,
                 revision,
@@ -183,15 +186,19 @@
         try:
             await self.configuration.read()
         except StoreError as exc:
-            logger.info('Could not read the configuration: %r', exc)
+            logger.info(
+                'Could not read the configuration from the store: %r', exc
+            )
         except InvalidRecordError:
-            logger.exception('The configuration in the store is not valid')
+            logger.exception(
+                'Invalid configuration in the store; keeping the current one'
+            )
 
     async def _try_read_upstreams(self) -> None:
         try:
             await self._read_upstreams()
         except StoreError as exc:
-            logger.info('Could not list the upstreams: %r', exc)
+            logger.info('Could not list the upstreams from the store: %r', exc)
 
     async def _read_upstreams(self) -> None:
         state = self._state
@@ -211,7 +218,7 @@
         self,
         items: tuple[StoredItem, ...],
     ) -> tuple[list[ListedUpstream], set[str]]:
-        """Return the upstreams listed and whose entries cannot be used."""
+        """Return the listed upstreams and the ids of those with invalid entries."""
         rows: list[ListedUpstream] = []
         unusable: dict[str, int] = {}
         for item in items:
@@ -225,12 +232,12 @@
         return rows, set(unusable)
 
     def _report_unusable(self, entry: UnusableEntry, revision: int) -> None:
-        """Log and count an entry once for each change of it."""
+        """Log and count an unusable entry once per change of it."""
         if self._unusable.get(entry.upstream_id) == revision:
             return
         self._state.counters.unusable_entries.inc()
         logger.warning(
-            'The entry of upstream %s, revision %s, cannot be used: %s',
+            'Unusable entry of upstream %s, revision %s: %s',
             entry.upstream_id,
             revision,
             entry.reason,
