--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what a node knows: the tables that all its parts share."""
+"""Provide the tables that all components of a node share."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/counters.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/counters.py
@@ -1,4 +1,4 @@
-"""Count what a gateway does, with a counter for each reason."""
+"""Define the metrics of a gateway, with a counter for each reason."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from spanfall_core.gateway.known.statements import News
@@ -6,15 +6,15 @@
 
 from spanfall_node.metric_kinds import labelled_counter, reason_counter
 
-#: Bucket bounds in seconds around the targets of 0.1 to 1.2 s.
+#: Histogram buckets in seconds around the latency targets of 0.1 to 1.2 s.
 LATENCY_BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 2, 5, 15)
 
 
 class Counters:
-    """Hold the counters and histograms of one gateway."""
+    """Hold the metrics of one gateway."""
 
     def __init__(self) -> None:
-        """Create all metrics, with a zero for each known reason."""
+        """Create all metrics, with an initial 0 for each known reason."""
         self.registry = CollectorRegistry()
         self.refusals = reason_counter(
             self.registry,
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -1,9 +1,9 @@
-"""Hold what a node knows of requests that end upstreams.
+"""Track requests that crash upstreams.
 
-Each entry keeps what it saw itself and what it heard to be quarantined, and
-tells both to each new home, so that no loss of a home loses them. The home
-holds the sum, tries suspects and tells of each quarantine at once; its record
-in the store is for a restart of all nodes.
+Each entry keeps the crashes it has observed and the quarantines it has
+received, and reports both to each new home, so that the loss of a home loses
+neither. The home merges the reports, runs trials of suspects and announces
+each quarantine at once; its record in the store serves a restart of all nodes.
 """
 
 import logging
@@ -31,25 +31,25 @@
 
 logger = logging.getLogger(__name__)
 
-#: Most requests of which an entry tells a new home what ended under them, the
-#: newest: 16 KB, measured with two ends each; 570 entries fill a link of
-#: 1,000 Mbit/s for 0.07 s with that.
+#: Maximum number of requests, the newest ones, whose crashes an entry reports
+#: to a new home. This takes 16 KB with two crashes each; the reports of 570
+#: entries take 0.07 s on a 1,000 Mbit/s link.
 MAX_REPORTED_REQUESTS = 256
 
 
 @dataclass(slots=True)
 class CrashState:
-    """Hold ends of upstreams, what is quarantined and, as home, the trials."""
+    """Hold crashes, quarantines and, on the home, the trials of suspects."""
 
     table: CrashTable = field(default_factory=CrashTable)
     trials: Trials = field(default_factory=Trials)
-    #: Set, and replaced, as another request is quarantined.
+    #: Set and replaced when another request is quarantined.
     changed: anyio.Event = field(default_factory=anyio.Event)
-    #: Set while it is open whether some upstreams have ended.
+    #: Set while there are unresolved suspected crashes.
     has_suspected_crashes: anyio.Event = field(default_factory=anyio.Event)
 
     def standing(self, identity: RequestIdentity, now: float) -> Standing:
-        """Tell how a request may be sent, for all that is known here."""
+        """Return how a request may be sent, as far as this node can tell."""
         return self.table.standing(identity, now)
 
     def record_crash(
@@ -58,7 +58,7 @@
         lifetime: Lifetime,
         now: float,
     ) -> None:
-        """Note that an upstream ended under a request."""
+        """Record that an upstream crashed under a request."""
         self.trials.end(identity, now)
         if self.table.note_end(identity, lifetime, now):
             self._report_quarantine(identity, lifetime)
@@ -71,7 +71,7 @@
         *,
         is_strong: bool,
     ) -> None:
-        """Note that an upstream may have ended under a request."""
+        """Record that an upstream may have crashed under a request."""
         self.trials.end(identity, now)
         table = self.table
         if table.note_doubt(identity, lifetime, now, is_strong=is_strong):
@@ -85,7 +85,7 @@
         heartbeat: float,
         now: float,
     ) -> None:
-        """Learn from the platform's list which doubted upstreams ended."""
+        """Resolve suspected crashes by the platform's list of upstreams."""
         settled = settle(self.table.doubts, directory, heartbeat, now)
         for lifetime in settled.living:
             self.table.absolve(lifetime)
@@ -96,7 +96,7 @@
             self.has_suspected_crashes = anyio.Event()
 
     def record_run(self, run: WatchedRun, now: float) -> None:
-        """Note how far a watched run has come."""
+        """Record the progress of a watched run."""
         if run.stage is RunStage.BEGAN:
             self.trials.end(run.identity, now + SETTLED_SECONDS)
             return
@@ -105,7 +105,7 @@
             self.table.clear(run.identity)
 
     def apply_report(self, report: CrashReport, now: float) -> None:
-        """Take over, as the home, what an entry knows."""
+        """Merge the report of an entry, as the home."""
         self.merge_quarantined(report.quarantined, now)
         for identity, lifetimes in report.ends.items():
             for lifetime in lifetimes:
@@ -120,19 +120,19 @@
                 )
 
     def merge_quarantined(self, others: Quarantined, now: float) -> None:
-        """Take over what another node quarantined."""
+        """Merge the quarantines of another node."""
         new = others.keys() - self.table.quarantined.keys()
         for identity in new:
             self.table.quarantine(identity, now + others[identity])
             logger.info(
-                'Identity %s is not served any more, as others found',
+                'Identity %s is quarantined, as reported by another node',
                 identity,
             )
         if new:
             self._notify_changed()
 
     def report(self, now: float) -> CrashReport:
-        """Return what is known here, for a new home."""
+        """Return the report of this node for a new home."""
         newest = dict(
             islice(reversed(self.table.ends.items()), MAX_REPORTED_REQUESTS),
         )
@@ -152,7 +152,7 @@
         )
 
     def quarantined(self, now: float) -> Quarantined:
-        """Return the quarantined requests and the seconds left."""
+        """Return the quarantined requests and their remaining seconds."""
         rows = self.table.quarantined.items()
         return {key: until - now for key, until in rows if until > now}
 
@@ -163,7 +163,7 @@
     ) -> None:
         logger.warning(
             'Upstreams end under identity %s, %s last: '
-            'it is not served any more',
+            'requests with this identity are quarantined',
             identity,
             lifetime,
         )
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/new_state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/new_state.py
@@ -1,4 +1,4 @@
-"""Build the tables of a node that starts."""
+"""Build the state of a node that starts."""
 
 from spanfall_api.gateway_settings import GatewaySettings
 from spanfall_core.gateway.known.directory import Directory
@@ -21,7 +21,7 @@
     timers: Timers,
     incarnation: str,
 ) -> GatewayState:
-    """Build the empty tables of a node that has just started."""
+    """Build the initial state of a node that has just started."""
     words = UpstreamStatements()
     state = GatewayState(
         cfg=cfg,
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -1,4 +1,4 @@
-"""Hold the tables that the parts of a gateway share."""
+"""Define the state that the components of a gateway share."""
 
 import logging
 from dataclasses import dataclass, field, replace
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class GatewayState:
-    """Hold everything that one gateway knows."""
+    """Hold the shared state of one gateway."""
 
     cfg: GatewaySettings
     platform: PlatformAdapter
@@ -57,82 +57,83 @@
     retries: RetryBudget
     usage: UsageCounts
     true_time: TrueTime
-    #: What upstreams say of themselves, and the list of them, which heeds it.
+    #: Statements of upstreams about themselves, and the directory of upstreams,
+    #: which takes them into account.
     words: UpstreamStatements
     directory: Directory
     configuration: ServedConfiguration | None = None
-    #: The configuration as the store holds it, to be passed on.
+    #: Configuration as stored, for forwarding to other nodes.
     configuration_source: bytes = b''
     loads: Loads = field(default_factory=Loads)
-    #: What this node has sent itself, and what it granted as the home.
+    #: Prompts that this node has sent, and prompts that it granted as the home.
     prompts: PromptHistory = field(default_factory=PromptHistory)
     granted_prompts: PromptHistory = field(default_factory=PromptHistory)
     fleet: FleetState = field(default_factory=FleetState)
     crashes: CrashState = field(default_factory=CrashState)
     effective_limits: LimitsInForce = field(default_factory=LimitsInForce)
     shared_levels: SharedLevels = field(default_factory=SharedLevels)
-    #: As the home: what runs everywhere.
+    #: On the home: running requests of the whole fleet.
     grant_book: GrantBook = field(default_factory=GrantBook)
     home: HomeRecord | None = None
-    #: Set, and replaced, as another node is the home or none is known.
+    #: Set and replaced when the known home changes or is lost.
     home_changed: anyio.Event = field(default_factory=anyio.Event)
-    #: Set, and replaced, as what runs here changes, or the home does: a node
-    #: that has nothing to do need not look for it twenty times a second.
+    #: Set and replaced when the load of this node or the home changes, so that
+    #: an idle node does not have to poll twenty times per second.
     load_changed: anyio.Event = field(default_factory=anyio.Event)
     tenure: Tenure | None = None
-    #: Epoch of a home that said itself that it acts no more: its record may be
+    #: Epoch of a home that reported its own resignation: its record may be
     #: replaced at once.
     vacant_epoch: int = 0
-    #: Set to look the home up at once.
+    #: Set to trigger an immediate lookup of the home.
     lookup_requested: anyio.Event = field(default_factory=anyio.Event)
-    #: When the home last answered.
+    #: Time of the last answer of the home.
     home_answered_at: float = float('-inf')
-    #: Work of reading that was sent to upstreams, by service, in tokens.
+    #: Prefill work sent to upstreams, by service, in tokens.
     read_work: Counts = field(default_factory=dict)
-    #: What requests here showed of the speed of reading.
+    #: Measurements of the prefill speed by requests of this node.
     reading: dict[str, ReadingSums] = field(default_factory=dict)
-    #: Upstreams that each service needs, as the home says.
+    #: Number of upstreams that each service needs, as reported by the home.
     needs: dict[str, float] = field(default_factory=dict)
-    #: Whether the home says that another is to be looked for.
+    #: Whether the home has resigned and another one must be found.
     home_resigned: bool = False
     draining_since: float | None = None
-    #: Requests that callers wait for.
+    #: Number of requests whose callers are waiting.
     open_requests: int = 0
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the limits in force for callers."""
+        """Return the current limits for callers."""
         if self.configuration is None:
             return CallerLimits()
         return self.configuration.limits
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force, or 0."""
+        """Return the version of the current configuration, or 0."""
         return self.configuration.version if self.configuration else 0
 
     @property
     def entry_key(self) -> str:
-        """Name this node and its incarnation."""
+        """Return the key of this node and its incarnation."""
         return f'{self.cfg.node}/{self.incarnation}'
 
     def is_home(self, now: float) -> bool:
-        """Tell whether this node certainly is the home."""
+        """Check whether this node is the home and its lease is still valid."""
         return self.tenure is not None and now < self.tenure.valid_until
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether new callers should be sent here."""
+        """Check whether the node accepts new callers."""
         if self.draining_since is not None or self.configuration is None:
             return False
         return self.freshness.is_ready(now)
 
     def own_load(self, seen: int) -> EntryLoad:
-        """Return what runs here, which includes grants up to a number."""
+        """Return the load of this node, including grants up to number ``seen``."""
         prefill = dict(+self.loads.prefill)
         return EntryLoad(dict(self.loads.running), prefill, seen)
 
     def record_prefill_work(self, service: str, prefill: int) -> None:
-        """Count the work of reading of a request that is sent."""
+        """Count the prefill work of a request that is sent."""
         known = self.read_work.get(service, 0)
         self.read_work[service] = known + round(reading_work(prefill))
 
@@ -142,7 +143,7 @@
         prefill: int,
         seconds: float,
     ) -> None:
-        """Learn from a prompt that nothing else waited before."""
+        """Update the prefill speed by a prompt that did not have to queue."""
         work = reading_work(prefill)
         known = self.prompts.speed(service)
         clamped = bounded_seconds(seconds, known.seconds(work))
@@ -150,21 +151,21 @@
         sums.add(work, clamped)
 
     def set_prefill_speeds(self, speeds: dict[str, ReadingSpeed]) -> None:
-        """Follow what the home learned of the speed of reading."""
+        """Apply the prefill speeds that the home has determined."""
         self.prompts.speeds = speeds
         self.granted_prompts.speeds = speeds
 
     def set_entry_count(self, entries: int) -> None:
-        """Share limits and retries with so many entries."""
+        """Set the number of entries that share limits and retries."""
         self.quotas.entries = entries
         self.retries.entries = entries
 
     def record_own_load(self, now: float) -> None:
-        """Count what runs here, as the home that also serves callers."""
+        """Record the load of this node, as the home that also serves callers."""
         self.grant_book.learn(self.entry_key, self.own_load(0), now)
 
     def apply_report(self, report: EntryReport, now: float) -> None:
-        """Take over the report of an entry as the home."""
+        """Apply the report of an entry, as the home."""
         self.fleet.learn(report, now)
         self.shared_levels.learn(
             report.key,
@@ -175,15 +176,15 @@
         )
 
     def own_report(self) -> EntryReport:
-        """Return what this node, as the home, is to know of itself."""
+        """Return the report of this node to itself as the home."""
         is_known = self.shared_levels.knows(self.entry_key)
         return self.report(to_new_home=not is_known)
 
     def allocate_units(self, entry: str, now: float) -> GivenUnits | None:
-        """Return what an entry may spend, or None if this is not the home.
+        """Allocate units to an entry; return None if this is not the home.
 
-        Only the holder of the lease gives units, so no two homes give the
-        same ones.
+        Only the holder of the lease allocates units, so no two homes allocate
+        the same ones.
         """
         if not can_allocate(self.tenure, now):
             return None
@@ -196,7 +197,7 @@
         units: float,
         now: float,
     ) -> float:
-        """Return the units that an entry gets besides, 0 if there are none."""
+        """Return the number of additional units lent to an entry, or 0."""
         if not can_allocate(self.tenure, now):
             return 0
         limits = self.limits_at(now)
@@ -208,7 +209,7 @@
         report: EntryReport,
         now: float,
     ) -> None:
-        """Take over the units that the home gives after a report."""
+        """Apply the units that the home has allocated after a report."""
         limits = self.limits_at(now)
         if given is None:
             self.quotas.go_alone(limits, now)
@@ -216,47 +217,47 @@
         self.quotas.learn_given(given, report.spending, limits, now)
 
     def follow_home(self, home: HomeRecord, now: float) -> None:
-        """Take another node as the home, unless it is an earlier one."""
+        """Follow another node as the home unless its epoch is not newer."""
         known = self.home
         if known is not None and home.epoch <= known.epoch:
             return
-        logger.info('The home is %s, epoch %s', home.node, home.epoch)
+        logger.info('Following home %s, epoch %s', home.node, home.epoch)
         self.set_home(home)
         self.home_answered_at = now
         self.home_resigned = False
         self.tenure = None
 
     def set_home(self, home: HomeRecord | None) -> None:
-        """Take a node as the home, or none, and wake who waits for that."""
+        """Set or clear the known home and wake the tasks that wait for it."""
         self.home = home
         self.home_changed.set()
         self.home_changed = anyio.Event()
         self.notify_load_changed()
 
     def notify_load_changed(self) -> None:
-        """Wake who waits for a change of what runs here."""
+        """Wake the tasks that wait for a change of the load."""
         self.load_changed.set()
         self.load_changed = anyio.Event()
 
     def record_vacant_home(self, epoch: int) -> None:
-        """Note that a home acts no more, and look for another at once."""
+        """Record that a home has resigned and look up another one at once."""
         self.vacant_epoch = max(self.vacant_epoch, epoch)
         self.home_resigned = True
         self.lookup_requested.set()
 
     def lose_home(self) -> None:
-        """Go on alone: nobody tells what the other entries do."""
+        """Continue without a home, which reported the other entries' load."""
         self.set_home(None)
         now = self.timers.now()
         self.quotas.go_alone(self.limits_at(now), now)
         self.loads.forget_others()
 
     def spending_to_record(self, now: float) -> dict[str, list[float]]:
-        """Return what workspaces spent that use much of their limits."""
+        """Return the spending of workspaces with high usage, to be recorded."""
         return self.shared_levels.pressed(self.limits_at(now), now)
 
     def limits_at(self, now: float) -> dict[str, Limit]:
-        """Return the limits of workspaces that bind now."""
+        """Return the limits of workspaces that apply now."""
         if self.configuration is None:
             return {}
         window = self.cfg.bounds.quota_window_seconds
@@ -264,7 +265,7 @@
         return self.effective_limits.at(configured, now)
 
     def report(self, *, to_new_home: bool = True) -> EntryReport:
-        """Return what the home is to know of this entry."""
+        """Return the report of this entry for the home."""
         now = self.timers.now()
         limits = self.limits_at(now)
         if to_new_home:
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/tenure.py
@@ -1,4 +1,4 @@
-"""Hold a node's own time as home."""
+"""Define the tenure of a node as home."""
 
 from dataclasses import dataclass
 
@@ -6,51 +6,52 @@
 
 
 def home_key(timeline: int) -> str:
-    """Return the key of the record that names the home.
+    """Return the key of the home record for a timeline.
 
-    Each timeline of the store has its own: a call under the condition of an
-    earlier one can't meet the same revision of a later record.
+    Each timeline of the store has its own key, so that a conditional call of
+    an earlier one cannot match the same revision of a later record.
     """
     return f'spanfall/home/{timeline}'
 
 
 @dataclass(slots=True)
 class Tenure:
-    """Hold this node's own time as home."""
+    """Hold the state of this node's tenure as home."""
 
-    #: Revision of its record, with the timeline: the fencing token.
+    #: Revision of the home record with its timeline: the fencing token.
     epoch: int
     lease: int
-    #: Steady time until which the lease is certain to last.
+    #: Monotonic time until which the lease is certainly valid.
     valid_until: float
-    #: When the last renewal was sent that was answered.
+    #: Time at which the last successful renewal was sent.
     renewed_at: float
     began_at: float
-    #: From when on it may give units of limits: the home before may have lived
-    #: on until then.
+    #: Time from which the home may allocate units of limits; until then the
+    #: previous home may still be active.
     allocates_from: float = float('-inf')
-    #: Whether no node of this fleet was ever the home before.
+    #: Whether this is the first tenure of the fleet.
     is_first: bool = False
-    #: Whether it gave up its record and only answers until there is another.
+    #: Whether the home has given up its record and only answers until the next
+    #: home takes over.
     resigned: bool = False
-    #: Whether it cannot renew its lease.
+    #: Whether the lease cannot be renewed.
     is_renewal_failing: bool = False
 
     @property
     def timeline(self) -> int:
-        """Return the timeline of the store on which it holds the record."""
+        """Return the timeline of the store to which the home record belongs."""
         return timeline_of(self.epoch)
 
     def may_allocate(self, now: float) -> bool:
-        """Tell whether no other node can give units of the limits."""
+        """Check whether this home is the only one that can allocate units."""
         return self.allocates_from <= now < self.valid_until
 
     def resign(self) -> None:
-        """Act no more from now on."""
+        """End the tenure with immediate effect."""
         self.resigned = True
         self.valid_until = float('-inf')
 
 
 def can_allocate(tenure: Tenure | None, now: float) -> bool:
-    """Tell whether a node alone may give what all share."""
+    """Check whether a node currently may allocate shared units and grants."""
     return tenure is not None and tenure.may_allocate(now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -1,7 +1,8 @@
-"""Hold what a node knows of what upstreams say of themselves.
+"""Track the statements that upstreams make about themselves.
 
-Each entry tells the home at once what it heard in an answer, and all it knows
-to each new home; the home tells all others with their tables.
+Each entry reports a new statement in a response to the home at once, and all
+known statements to each new home; the home distributes them to the others with
+their tables.
 """
 
 import logging
@@ -20,21 +21,21 @@
 
 logger = logging.getLogger(__name__)
 
-#: What the other nodes are to know.
+#: Changes that are reported to the other nodes.
 REPORTED_CHANGES = frozenset((News.LIMIT, News.NO_LIMIT, News.LEAVES))
 
 
 @dataclass(slots=True)
 class UpstreamStatements:
-    """Hold the words of upstreams and, as the home, the permits."""
+    """Hold the statements of upstreams and, on the home, the permits."""
 
     table: Statements = field(default_factory=Statements)
     permits: Permits = field(default_factory=Permits)
-    #: What upstreams ask of this node alone.
+    #: Back-offs that upstreams request of this node only.
     backoffs: Backoffs = field(default_factory=Backoffs)
-    #: Upstreams of which this node heard something that the home may not know.
+    #: Upstreams with statements that the home may not have received yet.
     unreported: dict[Lifetime, None] = field(default_factory=dict)
-    #: Set, and replaced, as there is another one.
+    #: Set and replaced when an upstream is added to ``unreported``.
     has_unreported: anyio.Event = field(default_factory=anyio.Event)
 
     def record(
@@ -46,7 +47,7 @@
         *,
         is_signed: bool,
     ) -> list[News]:
-        """Take what an answer says that arrives now; return what is new."""
+        """Record the statement in a response and return the changes."""
         if said.backoff:
             self.backoffs.note(lifetime, said.backoff, now)
         news = self.table.hear(
@@ -64,29 +65,31 @@
         return news
 
     def merge(self, words: Words, now: float) -> list[Lifetime]:
-        """Take what another node knows; return what had not been known."""
+        """Merge the statements of another node; return the changed upstreams."""
         news = self.table.learn(words, now)
         for lifetime in news:
             logger.debug(
-                'Another node says of %s: %s', lifetime, words[lifetime]
+                'Statement of upstream %s, reported by another node: %s',
+                lifetime,
+                words[lifetime],
             )
             self._update_permit_rate(lifetime, now)
         return news
 
     def take_unreported(self, now: float) -> Words:
-        """Return what the home may not know, once."""
+        """Return the unreported statements and mark them as reported."""
         unreported = self.unreported
         self.unreported = {}
         return self.table.words(unreported, now)
 
     def begin_tenure(self, now: float) -> None:
-        """Give permits as a home that begins: there are none yet."""
+        """Reset the permits at the start of a tenure as home."""
         self.permits = Permits()
         for lifetime, rate in self.table.rates.items():
             self.permits.follow(lifetime, rate, now)
 
     def forget(self, lifetime: Lifetime, now: float) -> None:
-        """Drop what an upstream said that is over for good."""
+        """Drop the statements of an upstream that has ended."""
         self.table.forget(lifetime)
         self.unreported.pop(lifetime, None)
         self.permits.follow(lifetime, None, now)
