--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -41,18 +41,18 @@
     def record(
         self,
         lifetime: Lifetime,
-        said: Statement,
+        received: Statement,
         sent_at: float,
         now: float,
         *,
         is_signed: bool,
     ) -> list[News]:
         """Record the statement in a response and return the changes."""
-        if said.backoff:
-            self.backoffs.note(lifetime, said.backoff, now)
+        if received.backoff:
+            self.backoffs.note(lifetime, received.backoff, now)
         news = self.table.hear(
             lifetime,
-            said,
+            received,
             sent_at,
             now,
             is_signed=is_signed,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Pass over the tests that are known to fail, and print them."""
+"""Deselect the tests listed in KNOWN-RED.txt, and print them."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 
 def known_failures():
-    """Return the lines of the list, each beginning with a test."""
+    """Return the lines of the list; each starts with the id of a test."""
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text().splitlines()
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -1,9 +1,10 @@
-"""Play orders of upstreams against a small model of a fleet, in virtual time.
+"""Simulate orders of upstreams on a small model of a fleet, in virtual time.
 
-The model holds what decides whether orders are good: engines that take
-requests and read prompts, the time to boot, reclaims of a data centre's
-reclaimable upstreams with a notice, and dry spells in which none are to be
-had. Requests are a flow, so that a day takes milliseconds.
+The model contains what determines the quality of orders: engines with a
+request capacity and a prefill speed, boot times, reclaims of the reclaimable
+upstreams of a data centre with a notice period, and shortages during which
+none are available. Requests are modelled as a flow, so that a day takes
+milliseconds.
 """
 
 from collections import Counter
@@ -25,47 +26,47 @@
 from spanfall_node.gateway.duties.capacity_duty import SETTLE_SECONDS
 
 PRICES = {'north': 1.0, 'south': 0.8, 'east': 1.25, 'west': 0.9}
-#: Bounds and prices as of a deployment with four data centres.
+#: Bounds and prices of a deployment with four data centres.
 SCALING = Scaling(1, 5, boot_seconds=4, reclaimable_price=0.22, prices=PRICES)
-#: An engine as fast as the deployments' fastest: with ``FULL_LOAD`` requests
-#: running and ``FULL_WORK`` tokens to read a second, six are busy.
+#: An engine as fast as the fastest of the deployments: ``FULL_LOAD`` running
+#: requests and ``FULL_PREFILL_TOKENS`` prompt tokens per second occupy six.
 ENGINE = EngineLimits(slots=24, cache_tokens=700_000)
 SPEED = ReadingSpeed(0.03, 110_000)
 FULL_LOAD = 60
 FULL_PREFILL_TOKENS = 170_000
-#: Engines without which answers of that load come late.
+#: Number of engines needed to serve the full load without delay.
 REQUIRED_ENGINES = 6
 STEP_SECONDS = 0.25
 NOTICE_SECONDS = 2.5
 
-#: Part of the full load at a time.
+#: Maps a time to the fraction of the full load.
 Pattern = Callable[[float], float]
 
 
 @dataclass(slots=True)
 class FleetSimulation:
-    """Hold a fleet, what is ordered and what came of it."""
+    """Simulate a fleet and its orders, and measure the results."""
 
     pattern: Pattern
     now: float = 0
     orders: ServiceOrders = field(default_factory=ServiceOrders)
     rows: dict[str, ListedUpstream] = field(default_factory=dict)
-    #: When those that were ordered serve, and when those that leave go.
+    #: Times at which ordered upstreams start to serve and leaving ones go.
     serves_at: dict[str, float] = field(default_factory=dict)
     departs_at: dict[str, float] = field(default_factory=dict)
     shortage_until: float = 0
     settles_at: float = 0
-    #: Seconds that an engine was missing, and price of all seconds.
+    #: Seconds weighted by the missing fraction of the engines, and total price.
     late: float = 0
     price: float = 0
-    #: Orders sent, and those that took back one of the last boot time
-    #: while the load was the same.
+    #: Orders sent, and the number of those that reversed an order sent within
+    #: the last boot time.
     sent: list = field(default_factory=list)
     reversals: int = 0
     _numbers: count = field(default_factory=count)
 
     def start(self, others: int) -> None:
-        """List what the operator runs, spread over the data centres."""
+        """Add the operator's own upstreams, spread over the data centres."""
         for number in range(others):
             self._add(sorted(PRICES)[number % len(PRICES)], reclaimable=False)
 
@@ -77,14 +78,14 @@
             self._measure()
 
     def reclaim(self, place: str, shortage: float) -> None:
-        """Take back a data centre's reclaimable ones; none for a while."""
+        """Reclaim the reclaimable upstreams of a data centre; start a shortage."""
         self.shortage_until = max(self.shortage_until, self.now + shortage)
         for key, row in self.rows.items():
             if row.reclaimable and row.data_centre == place:
                 self.departs_at.setdefault(key, self.now + NOTICE_SECONDS)
 
     def lose_home(self) -> None:
-        """Let another node take over, which knows only what is there."""
+        """Let another node take over, which has only the list of upstreams."""
         self.orders = ServiceOrders()
         self.settles_at = self.now + SETTLE_SECONDS
 
@@ -180,7 +181,7 @@
 
 
 def count_kinds(world: FleetSimulation) -> Counter:
-    """Count what serves, by kind."""
+    """Count the serving upstreams by kind."""
     return Counter(
         'reclaimable' if row.reclaimable else 'other'
         for key, row in world.rows.items()
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""Start gateways before stand-ins of a platform, inside one test."""
+"""Run gateways against stand-ins of a platform, within one test."""
 
 import json
 import secrets
@@ -38,13 +38,13 @@
 from support import run_async, wait_until
 
 HOST = 'depot.example'
-#: Ports of gateways.
+#: Range of ports for gateways.
 PORTS = range(12_000, 32_000)
 SERVICE = 'sheets'
 
 
 def route(prefix: str, kind: RouteKind, **fields: object) -> PlainRoute:
-    """Return a route of the one service."""
+    """Return a route to the only service."""
     shares = [PlainShare(SERVICE)]
     return PlainRoute(prefix, HOST, prefix, shares, kind, **fields)
 
@@ -61,16 +61,16 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Hold what a caller got."""
+    """Hold the response that a caller received."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    #: Whether the answer ended as HTTP says it ends.
+    #: Whether the response is complete by the rules of HTTP.
     complete: bool
 
     def accept_event(self, event: object) -> bool:
-        """Take an event; tell whether there is more to come."""
+        """Process an event; return whether more events are expected."""
         if isinstance(event, h11.Response):
             self.status = event.status_code
             self.headers = {
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class World:
-    """Hold the stand-ins and gateways of one test."""
+    """Manage the stand-ins and gateways of one test."""
 
     tasks: TaskGroup
     store: StandInStore
@@ -104,7 +104,7 @@
     _versions: count = field(default_factory=lambda: count(1))
 
     def configure(self, **changes: object) -> int:
-        """Write a version with some fields changed; return its number."""
+        """Write a new configuration with changed fields; return its version."""
         for name, content in changes.items():
             setattr(self.configuration, name, content)
         self.configuration.version = next(self._versions)
@@ -117,7 +117,7 @@
         behaviour: Behaviour,
         after_end: AfterEnd = AfterEnd.REFUSES,
     ) -> StandInUpstream:
-        """Start an upstream and list it."""
+        """Start an upstream and add its entry to the store."""
         lifetime = f'u-{next(self._numbers)}'
         upstream = StandInUpstream(lifetime, behaviour)
         address = await start_server(
@@ -133,7 +133,7 @@
         return upstream
 
     def remove_entry(self, upstream: StandInUpstream) -> None:
-        """Remove the entry of an upstream that writes no more."""
+        """Remove the entry of an upstream that has stopped writing it."""
         self.store.remove(f'{UPSTREAM_PREFIX}{upstream.lifetime}')
 
     async def add_gateway(self, **bounds: float) -> GatewayState:
@@ -149,7 +149,7 @@
         life: anyio.CancelScope,
         **bounds: float,
     ) -> GatewayState:
-        """Start a gateway that ends without a word as its life is cancelled."""
+        """Start a gateway that ends abruptly when ``life`` is cancelled."""
         outer_tasks = self.tasks
         started: list[GatewayState] = []
 
@@ -171,7 +171,7 @@
         host: Host | None = None,
         **bounds: float,
     ) -> GatewayState:
-        """Start a gateway."""
+        """Start a gateway and wait until it accepts connections."""
         number = next(self._numbers)
         listen = Listen(
             callers=await free_address(),
@@ -197,17 +197,17 @@
         return state
 
     async def answer_cloud(self, seen: Seen, stream: SocketStream) -> bool:
-        """Record a call of the cloud API."""
+        """Record a call to the cloud API."""
         self.cloud_calls.append(json.loads(seen.body))
         await stream.send(answer_bytes(200, b''))
         return True
 
 
 async def free_address() -> str:
-    """Return a loopback address that nothing listens on.
+    """Return a loopback address that no process listens on.
 
-    Its port lies below those that the system gives to outgoing connections,
-    one of which took the port of a gateway before that could listen there.
+    Its port is below the ephemeral port range: an outgoing connection once
+    took the port of a gateway before the gateway could listen there.
     """
     while True:
         port = secrets.choice(PORTS)
@@ -223,7 +223,7 @@
 
 
 async def wait_until_open(address: str) -> None:
-    """Wait until something accepts connections at an address."""
+    """Wait until an address accepts connections."""
     while True:
         try:
             stream = await dial(address)
@@ -235,7 +235,7 @@
 
 
 async def dial(address: str) -> SocketStream:
-    """Connect to an address."""
+    """Open a connection to an address."""
     host, _, port = address.rpartition(':')
     return await anyio.connect_tcp(host, int(port))
 
@@ -246,7 +246,7 @@
     body: bytes = b'',
     **headers: str,
 ) -> bytes:
-    """Return the bytes of a request."""
+    """Return the encoded bytes of a request."""
     method = 'POST' if body else 'GET'
     rows = {'host': HOST, 'attempt': attempt}
     rows.update({key.replace('_', '-'): text for key, text in headers.items()})
@@ -257,7 +257,7 @@
 
 
 async def read_answer(stream: SocketStream) -> Answer:
-    """Read one answer from a stream."""
+    """Read one response from a stream."""
     protocol = h11.Connection(h11.CLIENT)
     protocol.send(
         h11.Request(method='GET', target='/', headers=[('host', 'x')])
@@ -283,7 +283,7 @@
 
 
 async def ask(state: GatewayState, path: str, **fields: object) -> Answer:
-    """Send one request over a new connection and return its answer."""
+    """Send one request over a new connection and return its response."""
     stream = await dial(state.cfg.listen.callers)
     async with stream:
         await stream.send(request_bytes(path, **fields))
@@ -291,7 +291,7 @@
 
 
 def in_world(test: Callable[[World], Awaitable[None]]) -> Callable[[], None]:
-    """Run a test with a store, a cloud API and a first configuration."""
+    """Run a test with a store, a cloud API and an initial configuration."""
 
     def run() -> None:
         run_async(lambda: _run_in_world(test))
--- a/tests/test_gateway_client.py
+++ b/tests/test_gateway_client.py
@@ -1,4 +1,4 @@
-"""Call servers that misbehave on the connection itself."""
+"""Test the HTTP client with servers that misuse the connection."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -10,15 +10,15 @@
 from spanfall_node.gateway.net.sockets import TCP_USER_TIMEOUT_MS
 from support import run_async
 
-#: More than the sockets of both ends hold.
+#: Exceeds the socket buffers of both ends.
 LARGE_BODY = b'x' * 16_000_000
-#: Bound in seconds on a wait that should be none; reaching it is a failure.
+#: Time-out in seconds for steps that should not wait; expiry is a failure.
 TIMEOUT_SECONDS = 25
 EARLY_RESPONSE = b'HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n'
 
 
 async def respond_without_reading(stream: SocketStream) -> None:
-    """Answer at once and never read the request."""
+    """Respond at once and never read the request."""
     await stream.send(EARLY_RESPONSE)
     await anyio.sleep_forever()
 
@@ -40,7 +40,7 @@
 
 
 def test_response_before_body_is_read():
-    """A server that refuses early and reads no more does not hold us up."""
+    """A server that rejects early and stops reading does not block the client."""
 
     async def check(conn: Connection) -> None:
         call = HttpCall('POST', '/', body=LARGE_BODY)
@@ -53,7 +53,7 @@
 
 
 def test_keepalive_probes_are_enabled():
-    """A host without power neither answers nor closes."""
+    """Probes detect a host without power, which neither responds nor closes."""
 
     async def check(conn: Connection) -> None:
         raw = conn.stream.extra(SocketAttribute.raw_socket)
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Read settings of a gateway and name what is wrong."""
+"""Test that gateway settings are parsed and errors name the setting."""
 
 import pytest
 from click.testing import CliRunner
--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy: revisions go back, leases are gone."""
+"""Test restores of the store from a backup: older revisions, lost leases."""
 
 from contextlib import asynccontextmanager
 from dataclasses import replace
@@ -22,19 +22,19 @@
 from spanfall_standins.gateway.upstream import whole
 from support import wait_until
 
-#: Seconds within which a change is to be in force, as the platform asks.
+#: Seconds within which the platform requires a change to be applied.
 APPLY_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
-#: Seconds after which an upstream that lives has written its entry again.
+#: Seconds after which a live upstream has rewritten its entry.
 REWRITE_WAIT_SECONDS = 1.5
-#: Seconds after which a key that was taken away may not work.
+#: Seconds after which a revoked key must not work.
 REVOKE_SECONDS = 1.0
-#: Writes of others that are lost: their revisions are given out again.
+#: Number of lost writes of others, whose revisions are assigned again.
 LOST_WRITES = 200
 
 
 async def add_gateways_and_restore(world):
-    """Start two gateways; let them follow the store past a copy of it."""
+    """Start two gateways and restore the store to a state before their last."""
     gateways = [await world.add_gateway() for _ in range(2)]
     backup = world.store.backup()
     world.store.revision += LOST_WRITES
@@ -50,7 +50,7 @@
     return gateways
 
 
-# Guards against a version left out since its revision is a lower one.
+# Guards against ignoring a version because its revision is lower than before.
 @in_world
 async def test_configuration_change_after_restore_applies(world):
     gateways = await add_gateways_and_restore(world)
@@ -59,7 +59,7 @@
     assert [row.limits.body_bytes for row in gateways] == [12, 12]
 
 
-# Guards against a listing left out since its revision is a lower one.
+# Guards against ignoring a listing because its revision is lower than before.
 @in_world
 async def test_upstream_leaving_after_restore(world):
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
@@ -75,7 +75,7 @@
 
 
 def mark_leaving(world, upstream):
-    """Let an upstream write that it leaves."""
+    """Mark the stored entry of an upstream as leaving."""
     key = f'{UPSTREAM_PREFIX}{upstream.lifetime}'
     entry = msgspec.json.decode(
         world.store.items[key].content,
@@ -86,11 +86,11 @@
 
 
 def serving(state):
-    """Return the upstreams that a node sends to."""
+    """Return the lifetimes of the upstreams that a node sends to."""
     return {row.lifetime for row in state.directory.serving(SERVICE)}
 
 
-# Guards against a copy that takes back what an upstream has written.
+# Guards against a restore that reverts what an upstream has written.
 @in_world
 async def test_upstream_that_left_before_restore(world):
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
@@ -105,8 +105,8 @@
     assert [serving(row) for row in gateways] == [left, left]
 
 
-# Guards against upstreams that are given up since a copy does not name them
-# yet, though no call to the store has failed.
+# Guards against dropping upstreams because the backup predates their entries,
+# even though no call to the store has failed.
 @in_world
 async def test_upstream_missing_from_restored_backup(world):
     await world.add_upstream(whole())
@@ -122,8 +122,8 @@
     assert all(newer.lifetime in serving(row) for row in gateways)
 
 
-# Guards against a key that works again: the copy lacks the version that took
-# it away, which no node had read before the store went away.
+# Guards against a revoked key that works again: the backup lacks the version
+# that revoked it, which no node had read before the outage of the store.
 @in_world
 async def test_key_revoked_before_restore(world):
     workspace = PlainWorkspace('w', ['k'])
@@ -144,7 +144,7 @@
     assert (await ask_with_key(state, 99)).status == 401
 
 
-# Guards against a node that refuses for good where nothing was lost.
+# Guards against a node that refuses keys forever although nothing was lost.
 @in_world
 async def test_keys_served_again_after_lossless_restore(world):
     state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
@@ -159,17 +159,17 @@
 
 
 def serves_keys(state):
-    """Tell whether a node may serve requests with keys."""
+    """Return whether a node may serve requests with keys."""
     return state.freshness.may_serve_keys(state.timers.now())
 
 
 def replace_keys(workspace):
-    """Return a workspace with another key instead."""
+    """Return the workspace with another key."""
     return PlainWorkspace(workspace.name, ['other'])
 
 
 async def ask_with_key(state, number):
-    """Send a request with the key, a tenth of a second after the last one."""
+    """Wait a tenth of a second, then send a request with the key."""
     await anyio.sleep(0.1)
     path = f'/keyed/{number}'
     return await ask(state, path, attempt=f'k{number}', authorization='Key k')
@@ -177,14 +177,14 @@
 
 @asynccontextmanager
 async def store_client(world):
-    """Give a client of the store, without a gateway around it."""
+    """Provide a store client that is independent of a gateway."""
     state = await world.add_unready_gateway()
     async with anyio.create_task_group() as tasks:
         yield StoreClient(state, ConnectionPool(tasks))
         tasks.cancel_scope.cancel()
 
 
-# Guards against an old answer that arrives late, after a newer one.
+# Guards against accepting an old response that arrives after a newer one.
 @in_world
 async def test_late_answer_from_older_timeline(world):
     world.store.timeline = 2
@@ -200,7 +200,7 @@
         assert (await store.list_items('x')).revision > later
 
 
-# Guards against a list whose pages are from before and after a restore.
+# Guards against a listing with pages from before and after a restore.
 @in_world
 async def test_restore_between_two_pages(world):
     await world.add_upstream(whole())
