--- a/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
@@ -57,5 +57,5 @@
 
 
 def _note_own_record(state: GatewayState, claim: Claim) -> None:
-    state.set_home(claim.home)
+    state.update_home(claim.home)
     logger.info('This node is the home now, epoch %s', claim.epoch)
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -222,12 +222,12 @@
         if known is not None and home.epoch <= known.epoch:
             return
         logger.info('Following home %s, epoch %s', home.node, home.epoch)
-        self.set_home(home)
+        self.update_home(home)
         self.home_answered_at = now
         self.home_resigned = False
         self.tenure = None
 
-    def set_home(self, home: HomeRecord | None) -> None:
+    def update_home(self, home: HomeRecord | None) -> None:
         """Set or clear the known home and wake the tasks that wait for it."""
         self.home = home
         self.home_changed.set()
@@ -247,7 +247,7 @@
 
     def lose_home(self) -> None:
         """Continue without a home, which reported the other entries' load."""
-        self.set_home(None)
+        self.update_home(None)
         now = self.timers.now()
         self.quotas.go_alone(self.limits_at(now), now)
         self.loads.forget_others()
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -31,10 +31,10 @@
         ('{', '', 'not JSON'),
     ],
 )
-def test_error_names_the_invalid_setting(old, new, expected):
+def test_error_names_the_invalid_setting(old, new, named):
     with pytest.raises(GatewaySettingsError) as caught:
         parse_settings(VALID_SETTINGS.replace(old, new, 1))
-    assert expected in str(caught.value)
+    assert named in str(caught.value)
 
 
 def test_check_option_validates_a_file(tmp_path):
--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -52,7 +52,7 @@
 
 # Guards against ignoring a version because its revision is lower than before.
 @in_world
-async def test_configuration_change_after_restore_applies(world):
+async def test_configuration_change_after_restore(world):
     gateways = await add_gateways_and_restore(world)
     world.configure(body_bytes=12)
     await anyio.sleep(APPLY_SECONDS)
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -254,6 +254,6 @@
     await wait_until(lambda: is_home(home))
     entry = await world.add_gateway()
     await wait_until(lambda: entry.home_answered_at > 0)
-    home.set_home(None)
+    home.update_home(None)
     home.tenure = None
     await wait_until(lambda: entry.home is None)
