--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -36,7 +36,7 @@
 async def add_gateways_and_restore(world):
     """Start two gateways and restore the store to a state before their last."""
     gateways = [await world.add_gateway() for _ in range(2)]
-    backup = world.store.backup()
+    backup = world.store.copy()
     world.store.revision += LOST_WRITES
     world.configure(body_bytes=11)
     revision = world.store.revision
@@ -95,7 +95,7 @@
 async def test_upstream_that_left_before_restore(world):
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
     gateways = [await world.add_gateway() for _ in range(2)]
-    backup = world.store.backup()
+    backup = world.store.copy()
     mark_leaving(world, upstreams[0])
     left = {upstreams[1].lifetime}
     await wait_until(lambda: all(serving(row) == left for row in gateways))
@@ -110,7 +110,7 @@
 @in_world
 async def test_upstream_missing_from_restored_backup(world):
     await world.add_upstream(whole())
-    backup = world.store.backup()
+    backup = world.store.copy()
     newer = await world.add_upstream(whole())
     gateways = [await world.add_gateway() for _ in range(2)]
     key = f'{UPSTREAM_PREFIX}{newer.lifetime}'
@@ -130,7 +130,7 @@
     world.configure(workspaces=[workspace])
     await world.add_upstream(whole())
     state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
-    backup = world.store.backup()
+    backup = world.store.copy()
     world.store.failing = 503
     version = world.configure(workspaces=[replace_keys(workspace)])
     lost = world.store.items[CONFIGURATION_KEY].content
@@ -150,7 +150,7 @@
     state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
     world.store.failing = 503
     await wait_until(lambda: not serves_keys(state))
-    world.store.restore(world.store.backup())
+    world.store.restore(world.store.copy())
     world.store.failing = 0
     restored_at = state.timers.now()
     await wait_until(lambda: serves_keys(state))
@@ -210,7 +210,7 @@
 
         async def page_and_restore(prefix, after):
             page = await read_page(prefix, after)
-            world.store.restore(world.store.backup())
+            world.store.restore(world.store.copy())
             return replace(page, has_more=not after)
 
         store._page = page_and_restore
