--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -21,7 +21,7 @@
 )
 from spanfall_standins.gateway.upstream import whole
 from support import wait_until
-from test_gateway_store_restore import let_leave
+from test_gateway_store_restore import mark_leaving
 from test_gateway_succession import is_home
 from test_gateway_usage_restore import counts_by_window
 
@@ -157,7 +157,7 @@
 
     async def _leave(self):
         self.leaver = self.luck.choice(self.upstreams)
-        let_leave(self.world, self.leaver)
+        mark_leaving(self.world, self.leaver)
         self.note_written(entry_key(self.leaver))
 
     async def _end_home(self):
