--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -11,7 +11,7 @@
 from spanfall_core.gateway.known.unit_reports import EntrySpending
 from spanfall_core.gateway.limits.shared_levels import SharedLevels
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import (
     EntryLoad,
     FleetLoads,
@@ -111,7 +111,7 @@
     loads, prompts = Loads(), PromptHistory()
     began = time.process_time()
     for number in range(REPEATS):
-        ask = Ask(f'a-{number}', 'north', PARTS, 6000)
+        ask = RoutingRequest(f'a-{number}', 'north', PARTS, 6000)
         choose(rows, ask, loads, prompts, 0)
     return (time.process_time() - began) / REPEATS * MICROSECONDS
 
@@ -119,7 +119,7 @@
 def time_grant(upstreams: int) -> float:
     """Return the processor microseconds of the home for one grant."""
     rows = make_rows(upstreams)
-    request = GrantRequest('llm', Ask('a', 'north', PARTS, 6000))
+    request = GrantRequest('llm', RoutingRequest('a', 'north', PARTS, 6000))
     load = EntryLoad({'i-0': 1, 'i-1': 1}, {'i-0': 6000}, seen=0)
     received = encode(AskMessage('edge-1/0123', 1, request, load))
     book, prompts = GrantBook(), PromptHistory()
--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from spanfall_core.gateway.crashes.crashes import Doubt
+from spanfall_core.gateway.crashes.crashes import SuspectedCrash
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
@@ -16,51 +16,53 @@
 MISSED_HEARTBEATS = 3
 #: Seconds besides until a node knows: a read of the store every 0.6 s, one
 #: that is late, and the home's next table.
-LISTING_SECONDS = 2.0
+LISTING_DELAY_SECONDS = 2.0
 #: Seconds after which a doubt ends though no listing was to be had.
-LONGEST_DOUBT = 60.0
+MAX_SUSPECTED_SECONDS = 60.0
 
 
-def listed_seconds(heartbeat: float) -> float:
+def max_listing_delay(heartbeat: float) -> float:
     """Return the seconds after which the entry of an upstream is gone."""
-    return MISSED_HEARTBEATS * heartbeat + LISTING_SECONDS
+    return MISSED_HEARTBEATS * heartbeat + LISTING_DELAY_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class SettledCrashes:
     """Hold which of the upstreams that were doubted ended, and which live."""
 
     ended: tuple[Lifetime, ...] = ()
-    living: tuple[Lifetime, ...] = ()
+    alive: tuple[Lifetime, ...] = ()
 
 
 def settle(
-    doubts: Mapping[Lifetime, Doubt],
+    suspected_crashes: Mapping[Lifetime, SuspectedCrash],
     directory: Directory,
     heartbeat: float,
     now: float,
-) -> Settled:
+) -> SettledCrashes:
     """Return what the list tells of upstreams that are doubted.
 
     ``heartbeat`` are the seconds after which each writes its entry again.
     """
     ended = [
         lifetime
-        for lifetime, doubt in doubts.items()
-        if _has_ended(lifetime, doubt, directory)
+        for lifetime, suspected in suspected_crashes.items()
+        if _has_ended(lifetime, suspected, directory)
     ]
-    patience = listed_seconds(heartbeat)
-    living = [
+    listing_delay = max_listing_delay(heartbeat)
+    alive = [
         lifetime
-        for lifetime in doubts.keys() - set(ended)
-        if _lives(lifetime, doubts[lifetime], directory, patience, now)
+        for lifetime in suspected_crashes.keys() - set(ended)
+        if _is_alive(
+            lifetime, suspected_crashes[lifetime], directory, listing_delay, now
+        )
     ]
-    return Settled(tuple(ended), tuple(living))
+    return SettledCrashes(tuple(ended), tuple(alive))
 
 
 def _has_ended(
     lifetime: Lifetime,
-    doubt: Doubt,
+    suspected: SuspectedCrash,
     directory: Directory,
 ) -> bool:
     """Tell whether an entry went, or another lifetime has its address.
@@ -69,20 +71,20 @@
     """
     row = directory.rows.get(lifetime)
     if row is None:
-        return directory.proved_at > doubt.since
+        return directory.proved_at > suspected.since
     return directory.is_replaced(row)
 
 
-def _lives(
+def _is_alive(
     lifetime: Lifetime,
-    doubt: Doubt,
+    suspected: SuspectedCrash,
     directory: Directory,
-    patience: float,
+    listing_delay: float,
     now: float,
 ) -> bool:
     """Tell whether an entry outlived a doubt, or began to leave in it."""
     row = directory.rows.get(lifetime)
-    is_listed = directory.proved_at - doubt.since >= patience
+    is_listed = directory.proved_at - suspected.since >= listing_delay
     if row is not None and (row.is_leaving or is_listed and row.is_serving):
         return True
-    return now - doubt.since >= LONGEST_DOUBT
+    return now - suspected.since >= MAX_SUSPECTED_SECONDS
--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
@@ -18,26 +18,26 @@
 
 #: Ends of upstreams after which a request is tried alone. After one, all that
 #: ran on each upstream that is reclaimed would have to wait for each other.
-SUSPECT_AFTER = 2
+SUSPECT_THRESHOLD = 2
 #: Ends after which it is not served any more.
-QUARANTINED_AFTER = 3
+QUARANTINE_THRESHOLD = 3
 #: Requests of which ends are remembered: 1.5 MB, measured. Those with one end
 #: go first, the oldest before others: they are free anyway.
-MOST_REMEMBERED = 4096
+MAX_TRACKED_REQUESTS = 4096
 #: Seconds for which a request is quarantined, so that it is served again some
 #: time after its upstreams were mended: it costs three of them a day at most.
 QUARANTINE_SECONDS = 86_400.0
 #: Quarantined requests that are kept; the oldest go first. Each has cost three
 #: upstreams.
-MOST_QUARANTINED = 512
+MAX_QUARANTINED = 512
 #: Upstreams remembered whose end a quarantine explains: those that ran beside
 #: the request may be told of later.
-MOST_EXPLAINED = 1024
+MAX_EXPLAINED = 1024
 #: Seconds after which a trial whose end nobody told is taken to be over.
-TRIAL_SECONDS = 1.5
+MAX_TRIAL_SECONDS = 1.5
 #: Seconds after the first part of an answer at which a trial is over: requests
 #: that end their upstreams do so before they have given any.
-SETTLED_SECONDS = 0.2
+TRIAL_SETTLE_SECONDS = 0.2
 
 
 @unique
@@ -57,11 +57,11 @@
 
 
 Key = TypeVar('Key')
-Held = TypeVar('Held')
+Value = TypeVar('Value')
 
 
 @unique
-class Sign(StrEnum):
+class ProbeResult(StrEnum):
     """Say how surely an upstream ended as a send to it broke."""
 
     #: Its address refuses: no process is there.
@@ -70,13 +70,13 @@
     NO_ANSWER = 'no-answer'
     #: Its address takes connections, which another process may do already; no
     #: other connection from before is left.
-    TAKES_CONNECTIONS = 'takes-connections'
+    ACCEPTS_CONNECTIONS = 'takes-connections'
     #: Another connection to it from before is still open.
-    LIVES = 'lives'
+    ALIVE = 'lives'
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class SuspectedCrash:
     """Hold since when, and how much, an upstream is doubted to live."""
 
     since: float
@@ -92,10 +92,14 @@
     quarantined: dict[RequestIdentity, float] = field(default_factory=dict)
     #: Upstreams that ended under each other request, or may have; the request
     #: with the oldest one first.
-    ends: dict[RequestIdentity, set[Lifetime]] = field(default_factory=dict)
+    crashed_upstreams: dict[RequestIdentity, set[Lifetime]] = field(
+        default_factory=dict
+    )
     #: Those of them whose end is not certain.
-    doubts: dict[Lifetime, Doubt] = field(default_factory=dict)
-    _ended: dict[Lifetime, None] = field(default_factory=dict)
+    suspected_crashes: dict[Lifetime, SuspectedCrash] = field(
+        default_factory=dict
+    )
+    _confirmed: dict[Lifetime, None] = field(default_factory=dict)
     _explained: dict[Lifetime, None] = field(default_factory=dict)
 
     def standing(self, identity: RequestIdentity, now: float) -> Standing:
@@ -105,20 +109,24 @@
             if now < until:
                 return Standing.QUARANTINED
             self.quarantined.pop(identity)
-        ends = self.ends.get(identity)
-        if not ends:
+        crashed = self.crashed_upstreams.get(identity)
+        if not crashed:
             return Standing.FREE
-        weak = sum(self._is_weak(lifetime) for lifetime in ends)
+        weak_count = sum(
+            self._is_weakly_suspected(lifetime) for lifetime in crashed
+        )
         # One more where it is not even known that nobody answers there.
-        counted = max(len(ends) - weak, len(ends) - 1)
-        if counted < SUSPECT_AFTER:
+        counted = max(len(crashed) - weak_count, len(crashed) - 1)
+        if counted < SUSPECT_THRESHOLD:
             return Standing.WATCHED if counted else Standing.FREE
-        is_open = any(lifetime in self.doubts for lifetime in ends)
-        if counted >= QUARANTINED_AFTER and is_open:
+        has_suspected = any(
+            lifetime in self.suspected_crashes for lifetime in crashed
+        )
+        if counted >= QUARANTINE_THRESHOLD and has_suspected:
             return Standing.HELD
         return Standing.SUSPECT
 
-    def note_end(
+    def record_crash(
         self,
         identity: RequestIdentity,
         lifetime: Lifetime,
@@ -129,13 +137,13 @@
         Return whether it is quarantined by that.
         """
         if identity in self.quarantined:
-            self._explain({lifetime})
+            self._mark_explained({lifetime})
         if lifetime in self._explained:
             return False
         self._add(identity, lifetime)
-        return identity in self.confirm(lifetime, now)
+        return identity in self.confirm_crash(lifetime, now)
 
-    def note_doubt(
+    def record_suspected_crash(
         self,
         identity: RequestIdentity,
         lifetime: Lifetime,
@@ -147,16 +155,20 @@
 
         Return whether it is quarantined by that, as the end is certain here.
         """
-        if lifetime in self._ended:
-            return self.note_end(identity, lifetime, now)
+        if lifetime in self._confirmed:
+            return self.record_crash(identity, lifetime, now)
         if identity in self.quarantined or lifetime in self._explained:
             return False
         self._add(identity, lifetime)
-        known = self.doubts.get(lifetime, Doubt(now, is_strong))
-        self.doubts[lifetime] = Doubt(known.since, known.is_strong or is_strong)
+        known = self.suspected_crashes.get(
+            lifetime, SuspectedCrash(now, is_strong)
+        )
+        self.suspected_crashes[lifetime] = SuspectedCrash(
+            known.since, known.is_strong or is_strong
+        )
         return False
 
-    def confirm(
+    def confirm_crash(
         self,
         lifetime: Lifetime,
         now: float,
@@ -165,71 +177,95 @@
 
         Return the requests that are quarantined by that.
         """
-        self.doubts.pop(lifetime, None)
-        self._ended[lifetime] = None
-        _keep_newest(self._ended, MOST_EXPLAINED)
-        ran_there = [key for key, ends in self.ends.items() if lifetime in ends]
-        return [key for key in ran_there if self._is_convicted(key, now)]
-
-    def _is_convicted(self, identity: RequestIdentity, now: float) -> bool:
+        self.suspected_crashes.pop(lifetime, None)
+        self._confirmed[lifetime] = None
+        _evict_oldest(self._confirmed, MAX_EXPLAINED)
+        affected = [
+            key
+            for key, crashed in self.crashed_upstreams.items()
+            if lifetime in crashed
+        ]
+        return [key for key in affected if self._quarantine_if_proven(key, now)]
+
+    def _quarantine_if_proven(
+        self, identity: RequestIdentity, now: float
+    ) -> bool:
         """Quarantine a request if its ends are certain and its own doing.
 
         Where another one ran at all of them too, the next trial tells.
         """
-        ends = self.ends.get(identity, set()) - self.doubts.keys()
-        if len(ends) < QUARANTINED_AFTER:
+        crashed = (
+            self.crashed_upstreams.get(identity, set())
+            - self.suspected_crashes.keys()
+        )
+        if len(crashed) < QUARANTINE_THRESHOLD:
             return False
-        others = (row for key, row in self.ends.items() if key != identity)
-        if any(ends <= row for row in others):
+        others = (
+            row
+            for key, row in self.crashed_upstreams.items()
+            if key != identity
+        )
+        if any(crashed <= row for row in others):
             return False
         self.quarantine(identity, now + QUARANTINE_SECONDS)
         return True
 
-    def absolve(self, lifetime: Lifetime) -> None:
+    def record_alive(self, lifetime: Lifetime) -> None:
         """Note that an upstream that was doubted lives."""
-        self.doubts.pop(lifetime, None)
-        self._leave_out({lifetime})
+        self.suspected_crashes.pop(lifetime, None)
+        self._discard_crashes({lifetime})
 
     def quarantine(self, identity: RequestIdentity, until: float) -> None:
         """Send a request no more; clear those that only ran beside it."""
-        explained = self.ends.pop(identity, set())
+        explained = self.crashed_upstreams.pop(identity, set())
         self.quarantined[identity] = until
-        _keep_newest(self.quarantined, MOST_QUARANTINED)
-        self._explain(explained)
+        _evict_oldest(self.quarantined, MAX_QUARANTINED)
+        self._mark_explained(explained)
 
     def clear(self, identity: RequestIdentity) -> None:
         """Forget a request whose answer came whole: it ends no upstream."""
-        self.ends.pop(identity, None)
+        self.crashed_upstreams.pop(identity, None)
 
-    def _is_weak(self, lifetime: Lifetime) -> bool:
-        doubt = self.doubts.get(lifetime)
-        return doubt is not None and not doubt.is_strong
+    def _is_weakly_suspected(self, lifetime: Lifetime) -> bool:
+        suspected = self.suspected_crashes.get(lifetime)
+        return suspected is not None and not suspected.is_strong
 
     def _add(self, identity: RequestIdentity, lifetime: Lifetime) -> None:
-        ends = self.ends.pop(identity, set())
-        self.ends[identity] = ends | {lifetime}
-        self._forget_one()
+        crashed = self.crashed_upstreams.pop(identity, set())
+        self.crashed_upstreams[identity] = crashed | {lifetime}
+        self._evict_one()
 
-    def _explain(self, ended: set[Lifetime]) -> None:
+    def _mark_explained(self, ended: set[Lifetime]) -> None:
         """Count these ends for no other request any more."""
         for lifetime in ended:
-            self.doubts.pop(lifetime, None)
+            self.suspected_crashes.pop(lifetime, None)
             self._explained[lifetime] = None
-        _keep_newest(self._explained, MOST_EXPLAINED)
-        self._leave_out(ended)
-
-    def _leave_out(self, lifetimes: set[Lifetime]) -> None:
-        left = {other: ends - lifetimes for other, ends in self.ends.items()}
-        self.ends = {other: ends for other, ends in left.items() if ends}
-
-    def _forget_one(self) -> None:
-        if len(self.ends) <= MOST_REMEMBERED:
+        _evict_oldest(self._explained, MAX_EXPLAINED)
+        self._discard_crashes(ended)
+
+    def _discard_crashes(self, lifetimes: set[Lifetime]) -> None:
+        remaining = {
+            other: crashed - lifetimes
+            for other, crashed in self.crashed_upstreams.items()
+        }
+        self.crashed_upstreams = {
+            other: crashed for other, crashed in remaining.items() if crashed
+        }
+
+    def _evict_one(self) -> None:
+        if len(self.crashed_upstreams) <= MAX_TRACKED_REQUESTS:
             return
-        with_one = (key for key, ends in self.ends.items() if len(ends) == 1)
-        self.ends.pop(next(with_one, next(iter(self.ends))))
+        with_one_crash = (
+            key
+            for key, crashed in self.crashed_upstreams.items()
+            if len(crashed) == 1
+        )
+        self.crashed_upstreams.pop(
+            next(with_one_crash, next(iter(self.crashed_upstreams)))
+        )
 
 
-def _keep_newest(rows: dict[Key, Held], most: int) -> None:
+def _evict_oldest(rows: dict[Key, Value], most: int) -> None:
     while len(rows) > most:
         rows.pop(next(iter(rows)))
 
@@ -258,7 +294,7 @@
         running = self._running.get(service)
         if running is not None and now < running.until:
             return False
-        self._running[service] = Trial(identity, now + TRIAL_SECONDS)
+        self._running[service] = Trial(identity, now + MAX_TRIAL_SECONDS)
         return True
 
     def end(self, identity: RequestIdentity, until: float) -> None:
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
@@ -11,29 +11,29 @@
 
 from spanfall_core.gateway.known.configuration import Scaling
 from spanfall_core.gateway.orders.orders import (
-    REPEAT_SECONDS,
+    RESEND_DELAY_SECONDS,
     Order,
-    Present,
     ServiceOrders,
-    is_certain,
+    ServingCounts,
     is_due,
-    is_without_effect,
-    note_reached,
+    is_safe,
+    is_unfulfilled,
+    record_fulfilled,
 )
 
 #: Part of the need that has to be there even if one more data centre loses
 #: its reclaimable upstreams while none are to be had: those who boot need
 #: longer than a notice lasts.
-AHEAD_PART = 0.8
+LOSS_COVERAGE = 0.8
 #: One in so many data centres may be lost at a time without too little left;
 #: half of them instead cost 0.03 of the worth on a calm day of Muestras.
-LOST_PART = 3
+DATA_CENTRES_PER_LOSS = 3
 #: Boot times for which fewer upstreams must do before some are sent away.
-HOLD_BOOTS = 2
+SCALE_DOWN_BOOTS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class OnDemandBounds:
     """State how many others must come, and how many may stay."""
 
     least: int
@@ -44,30 +44,34 @@
     service: str,
     scaling: Scaling,
     orders: ServiceOrders,
-    present: Present,
+    serving: ServingCounts,
     now: float,
 ) -> list[Order]:
     """Return the orders to send now, most urgent first."""
-    places = sorted(scaling.prices, key=lambda place: scaling.prices[place])
-    if not orders.in_force and not orders.demand.is_complete(now):
+    data_centres = sorted(
+        scaling.prices, key=lambda data_centre: scaling.prices[data_centre]
+    )
+    if not orders.in_force and not orders.demand.is_registration_complete(now):
         return []
-    note_reached(orders, present)
-    wanted = _wanted(orders, len(places), scaling, now)
-    coming = sum(
-        _coming(place, wanted, scaling, orders, present, now)
-        for place in places
+    record_fulfilled(orders, serving)
+    target = _reclaimable_target(orders, len(data_centres), scaling, now)
+    pending = sum(
+        _pending_reclaimable(data_centre, target, scaling, orders, serving, now)
+        for data_centre in data_centres
+    )
+    bounds = _on_demand_bounds(orders, serving, pending, scaling, now)
+    on_demand_plan = _plan_on_demand(
+        orders, serving, data_centres, scaling, bounds, now
     )
-    missing = _missing(orders, present, coming, scaling, now)
-    bridge = _bridge(orders, present, places, scaling, missing, now)
     planned: list[Order] = []
-    for place in places:
+    for data_centre in data_centres:
         planned.extend(
-            _place_orders(
-                Order(service, place, reclaimable=True, count=wanted),
-                bridge[place],
+            _data_centre_orders(
+                Order(service, data_centre, reclaimable=True, count=target),
+                on_demand_plan[data_centre],
                 scaling,
                 orders,
-                present,
+                serving,
                 now,
             ),
         )
@@ -75,17 +79,17 @@
         order
         for order in planned
         if is_due(order, orders, now)
-        and is_certain(order, orders, present, scaling, now)
+        and is_safe(order, orders, serving, scaling, now)
         and (
-            orders.in_force.get(order.subject) != order.count
-            or is_without_effect(order, orders, present, scaling, now)
+            orders.in_force.get(order.key) != order.count
+            or is_unfulfilled(order, orders, serving, scaling, now)
         )
     ]
 
 
-def _wanted(
+def _reclaimable_target(
     orders: ServiceOrders,
-    places: int,
+    data_centres: int,
     scaling: Scaling,
     now: float,
 ) -> int:
@@ -96,77 +100,87 @@
     if not scaling.reclaimable_price:
         return 0
     peak = orders.demand.peak
-    with_loss = peak * places / max(1, places - places // LOST_PART)
+    with_loss = (
+        peak
+        * data_centres
+        / max(1, data_centres - data_centres // DATA_CENTRES_PER_LOSS)
+    )
     # The room for a place that may be lost serves for what limits cost now.
-    covered = max(with_loss, peak + orders.lost)
-    hold = scaling.boot_seconds * HOLD_BOOTS
-    held = orders.wanted.learn(ceil(covered / max(1, places)), hold, now)
-    each = max(held, ceil(orders.demand.expected(now) / max(1, places)))
-    count = max(scaling.least, min(scaling.most, each))
+    covered = max(with_loss, peak + orders.capacity_lost)
+    hold_seconds = scaling.boot_seconds * SCALE_DOWN_BOOTS
+    held = orders.reclaimable_targets.learn(
+        ceil(covered / max(1, data_centres)), hold_seconds, now
+    )
+    per_data_centre = max(
+        held, ceil(orders.demand.expected(now) / max(1, data_centres))
+    )
+    count = max(scaling.least, min(scaling.most, per_data_centre))
     if orders.is_scarce(now):
         # What is sent away in a dry spell cannot be had again; others that
         # bridge it cost several times as much.
-        count = max(count, orders.last_wanted)
-    orders.last_wanted = count
+        count = max(count, orders.last_target)
+    orders.last_target = count
     return count
 
 
-def _missing(
+def _on_demand_bounds(
     orders: ServiceOrders,
-    present: Present,
-    coming: int,
+    serving: ServingCounts,
+    pending: int,
     scaling: Scaling,
     now: float,
-) -> Missing:
+) -> OnDemandBounds:
     """Return how many others the fleet needs beside reclaimable ones."""
-    hold = scaling.boot_seconds * HOLD_BOOTS
-    need = ceil(orders.demand.peak + orders.lost)
-    seen = orders.needed.learn(need, hold, now)
-    needed = max(seen, ceil(orders.demand.expected(now)))
-    there = present.reclaimable.total()
-    most = max(0, needed - there)
-    least = max(0, most - coming)
+    hold_seconds = scaling.boot_seconds * SCALE_DOWN_BOOTS
+    need = ceil(orders.demand.peak + orders.capacity_lost)
+    peak_need = orders.needed_counts.learn(need, hold_seconds, now)
+    needed = max(peak_need, ceil(orders.demand.expected(now)))
+    present = serving.reclaimable.total()
+    most = max(0, needed - present)
+    least = max(0, most - pending)
     if orders.is_scarce(now):
-        largest = max(present.reclaimable.values(), default=0)
-        ahead = ceil(seen * AHEAD_PART) - (there + coming - largest)
-        least = max(least, ahead)
+        largest = max(serving.reclaimable.values(), default=0)
+        shortfall = ceil(peak_need * LOSS_COVERAGE) - (
+            present + pending - largest
+        )
+        least = max(least, shortfall)
     if orders.demand.is_idle():
         # Nobody waits yet for what boots.
         most = least
-    return Missing(least, max(least, most))
+    return OnDemandBounds(least, max(least, most))
 
 
-def _coming(
-    place: str,
-    wanted: int,
+def _pending_reclaimable(
+    data_centre: str,
+    target: int,
     scaling: Scaling,
     orders: ServiceOrders,
-    present: Present,
+    serving: ServingCounts,
     now: float,
 ) -> int:
     """Return the reclaimable ones that boot there or are ordered now.
 
     Others would not serve sooner, so none are ordered in their place.
     """
-    subject = (place, True)
-    if orders.is_refused(place, now):
+    key = (data_centre, True)
+    if orders.is_refused(data_centre, now):
         return 0
-    latest = scaling.boot_seconds + REPEAT_SECONDS
-    waited = now - orders.ordered_at.get(subject, now)
-    if waited > latest and subject not in orders.reached:
+    timeout = scaling.boot_seconds + RESEND_DELAY_SECONDS
+    waited = now - orders.ordered_at.get(key, now)
+    if waited > timeout and key not in orders.fulfilled:
         return 0
     if orders.is_scarce(now):
         # Elsewhere none are to be had: only what was accepted comes.
-        wanted = min(wanted, orders.in_force.get(subject, 0))
-    return max(0, wanted - present.reclaimable[place])
+        target = min(target, orders.in_force.get(key, 0))
+    return max(0, target - serving.reclaimable[data_centre])
 
 
-def _bridge(
+def _plan_on_demand(
     orders: ServiceOrders,
-    present: Present,
-    places: list[str],
+    serving: ServingCounts,
+    data_centres: list[str],
     scaling: Scaling,
-    missing: Missing,
+    bounds: OnDemandBounds,
     now: float,
 ) -> dict[str, int]:
     """Return the others that must stay or come, by data centre.
@@ -174,59 +188,63 @@
     Those that are there or ordered stay where they are; more come where they
     cost least, fewer go where they cost most, and none before it has booted.
     """
-    bridge = {
-        place: orders.in_force.get((place, False), present.others[place])
-        for place in places
+    on_demand_plan = {
+        data_centre: orders.in_force.get(
+            (data_centre, False), serving.on_demand[data_centre]
+        )
+        for data_centre in data_centres
     }
-    ordered = sum(bridge.values())
-    change = min(max(ordered, missing.least), missing.most) - ordered
+    ordered = sum(on_demand_plan.values())
+    change = min(max(ordered, bounds.least), bounds.most) - ordered
     settled = [
-        place
-        for place in reversed(places)
-        if now - orders.raised_at.get((place, False), float('-inf'))
+        data_centre
+        for data_centre in reversed(data_centres)
+        if now - orders.increased_at.get((data_centre, False), float('-inf'))
         > scaling.boot_seconds
     ]
-    for dear in settled:
-        gone = max(0, min(-change, bridge[dear]))
-        bridge[dear] -= gone
-        change += gone
-    for cheap in places:
-        room = scaling.most - present.reclaimable[cheap] - bridge[cheap]
+    for expensive in settled:
+        removed = max(0, min(-change, on_demand_plan[expensive]))
+        on_demand_plan[expensive] -= removed
+        change += removed
+    for cheap in data_centres:
+        room = scaling.most - serving.reclaimable[cheap] - on_demand_plan[cheap]
         added = max(0, min(room, change))
-        bridge[cheap] += added
+        on_demand_plan[cheap] += added
         change -= added
-    return bridge
+    return on_demand_plan
 
 
-def _place_orders(
-    wanted: Order,
-    bridge: int,
+def _data_centre_orders(
+    target: Order,
+    on_demand_plan: int,
     scaling: Scaling,
     orders: ServiceOrders,
-    present: Present,
+    serving: ServingCounts,
     now: float,
 ) -> list[Order]:
-    place = wanted.data_centre
-    others = orders.in_force.get((place, False), present.others[place])
-    room = scaling.most - max(others, present.others[place])
+    data_centre = target.data_centre
+    ordered = orders.in_force.get(
+        (data_centre, False), serving.on_demand[data_centre]
+    )
+    room = scaling.most - max(ordered, serving.on_demand[data_centre])
     reclaimable = Order(
-        wanted.service,
-        place,
+        target.service,
+        data_centre,
         reclaimable=True,
-        count=max(0, min(wanted.count, room)),
+        count=max(0, min(target.count, room)),
     )
     # Others that serve stay until reclaimable ones do; none is ordered where
     # a place lost its reclaimable ones and the rest of the fleet is enough.
-    least = scaling.least - present.reclaimable[place]
-    keep = max(bridge, min(present.others[place], least))
-    if others >= scaling.most and not orders.is_scarce(now):
+    least = scaling.least - serving.reclaimable[data_centre]
+    keep = max(on_demand_plan, min(serving.on_demand[data_centre], least))
+    if ordered >= scaling.most and not orders.is_scarce(now):
         # A full place takes no reclaimable upstream until one has left; while
         # none are to be had, nothing makes room for them.
-        keep = min(keep, others - 1)
-    replacing = Order(
-        wanted.service,
-        place,
+        keep = min(keep, ordered - 1)
+    on_demand = Order(
+        target.service,
+        data_centre,
         reclaimable=False,
         count=max(0, keep),
     )
-    return [replacing, reclaimable]
+    return [on_demand, reclaimable]
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/orders.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/orders.py
@@ -6,15 +6,15 @@
 
 from spanfall_core.gateway.known.configuration import Scaling
 from spanfall_core.gateway.known.listed import ListedUpstream
-from spanfall_core.gateway.orders.demand import Demand, HeldMost
+from spanfall_core.gateway.orders.demand import Demand, SlidingMaximum
 
 #: Seconds after a refusal before a data centre is asked again.
-REFUSED_SECONDS = 3.0
+REFUSAL_BACKOFF_SECONDS = 3.0
 #: Seconds beyond the boot time after which an order without effect is
 #: sent again.
-REPEAT_SECONDS = 3.0
+RESEND_DELAY_SECONDS = 3.0
 
-Subject = tuple[str, bool]
+OrderKey = tuple[str, bool]
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     count: int
 
     @property
-    def subject(self) -> Subject:
+    def key(self) -> OrderKey:
         """Name what the order counts, within its service."""
         return self.data_centre, self.reclaimable
 
@@ -37,20 +37,20 @@
     """Hold the orders in force for one service and their refusals."""
 
     demand: Demand = field(default_factory=Demand)
-    in_force: dict[Subject, int] = field(default_factory=dict)
-    ordered_at: dict[Subject, float] = field(default_factory=dict)
+    in_force: dict[OrderKey, int] = field(default_factory=dict)
+    ordered_at: dict[OrderKey, float] = field(default_factory=dict)
     refused_until: dict[str, float] = field(default_factory=dict)
     #: What was ordered and has come since.
-    reached: set[Subject] = field(default_factory=set)
+    fulfilled: set[OrderKey] = field(default_factory=set)
     #: Reclaimable ones wanted for each place, and upstreams needed in all.
-    wanted: HeldMost = field(default_factory=HeldMost)
-    needed: HeldMost = field(default_factory=HeldMost)
-    last_wanted: int = 0
+    reclaimable_targets: SlidingMaximum = field(default_factory=SlidingMaximum)
+    needed_counts: SlidingMaximum = field(default_factory=SlidingMaximum)
+    last_target: int = 0
     #: Upstreams that the limits of some cost now; not kept for long, as those
     #: limits are not.
-    lost: float = 0
+    capacity_lost: float = 0
     #: When more of a kind were ordered last.
-    raised_at: dict[Subject, float] = field(default_factory=dict)
+    increased_at: dict[OrderKey, float] = field(default_factory=dict)
 
     def is_scarce(self, now: float) -> bool:
         """Tell whether any data centre refused reclaimable ones lately.
@@ -58,60 +58,65 @@
         It counts until the next answer is there, so that the moment of asking
         again sends nothing away.
         """
-        return any(self.is_refused(place, now) for place in self.refused_until)
+        return any(
+            self.is_refused(data_centre, now)
+            for data_centre in self.refused_until
+        )
 
-    def is_refused(self, place: str, now: float) -> bool:
+    def is_refused(self, data_centre: str, now: float) -> bool:
         """Tell whether a data centre refused reclaimable ones lately."""
-        until = self.refused_until.get(place)
-        return until is not None and now < until + REFUSED_SECONDS
+        until = self.refused_until.get(data_centre)
+        return until is not None and now < until + REFUSAL_BACKOFF_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
-class Present:
+class ServingCounts:
     """Count the upstreams that serve now, by data centre."""
 
     reclaimable: Counter[str]
-    others: Counter[str]
+    on_demand: Counter[str]
 
     def total(self) -> int:
         """Return all upstreams that serve."""
-        return self.reclaimable.total() + self.others.total()
+        return self.reclaimable.total() + self.on_demand.total()
 
-    def count(self, subject: Subject) -> int:
+    def count(self, key: OrderKey) -> int:
         """Return the upstreams of one kind in one data centre."""
-        place, reclaimable = subject
-        return (self.reclaimable if reclaimable else self.others)[place]
+        data_centre, reclaimable = key
+        return (self.reclaimable if reclaimable else self.on_demand)[
+            data_centre
+        ]
 
 
-def count_present(rows: Iterable[ListedUpstream]) -> Present:
+def count_serving(rows: Iterable[ListedUpstream]) -> ServingCounts:
     """Count the upstreams that may get new work."""
     serving = [row for row in rows if row.is_serving]
-    return Present(
+    return ServingCounts(
         Counter(row.data_centre for row in serving if row.reclaimable),
         Counter(row.data_centre for row in serving if not row.reclaimable),
     )
 
 
-def note_accepted(order: Order, orders: ServiceOrders, now: float) -> None:
+def record_accepted(order: Order, orders: ServiceOrders, now: float) -> None:
     """Note that an order is in force."""
-    if order.count > orders.in_force.get(order.subject, order.count):
-        orders.raised_at[order.subject] = now
-    orders.in_force[order.subject] = order.count
-    orders.ordered_at[order.subject] = now
-    orders.reached.discard(order.subject)
+    if order.count > orders.in_force.get(order.key, order.count):
+        orders.increased_at[order.key] = now
+    orders.in_force[order.key] = order.count
+    orders.ordered_at[order.key] = now
+    orders.fulfilled.discard(order.key)
 
 
-def note_refused(order: Order, orders: ServiceOrders, now: float) -> None:
+def record_refused(order: Order, orders: ServiceOrders, now: float) -> None:
     """Note that a data centre has none to give at the moment."""
-    orders.refused_until[order.data_centre] = now + REFUSED_SECONDS
+    orders.refused_until[order.data_centre] = now + REFUSAL_BACKOFF_SECONDS
 
 
-def note_reached(orders: ServiceOrders, present: Present) -> None:
+def record_fulfilled(orders: ServiceOrders, serving: ServingCounts) -> None:
     """Note which orders were carried out in full."""
-    orders.reached.update(
-        subject
-        for subject, count in orders.in_force.items()
-        if present.count(subject) >= count
+    orders.fulfilled.update(
+        key
+        for key, count in orders.in_force.items()
+        if serving.count(key) >= count
     )
 
 
@@ -119,15 +124,15 @@
     """Tell whether it makes sense to send an order now."""
     if not order.reclaimable:
         return True
-    if not order.count and order.subject not in orders.in_force:
+    if not order.count and order.key not in orders.in_force:
         return False
     return now >= orders.refused_until.get(order.data_centre, 0)
 
 
-def is_certain(
+def is_safe(
     order: Order,
     orders: ServiceOrders,
-    present: Present,
+    serving: ServingCounts,
     scaling: Scaling,
     now: float,
 ) -> bool:
@@ -136,24 +141,24 @@
     A new home does not know what the home before has ordered, so it sends
     only more than what is there until that has booted.
     """
-    if order.subject in orders.in_force or orders.demand.is_idle():
+    if order.key in orders.in_force or orders.demand.is_idle():
         return True
-    if order.count > present.count(order.subject):
+    if order.count > serving.count(order.key):
         return True
-    return now - orders.demand.found_at > scaling.boot_seconds
+    return now - orders.demand.initial_count_at > scaling.boot_seconds
 
 
-def is_without_effect(
+def is_unfulfilled(
     order: Order,
     orders: ServiceOrders,
-    present: Present,
+    serving: ServingCounts,
     scaling: Scaling,
     now: float,
 ) -> bool:
     """Tell whether ordered upstreams did not come, or went since."""
-    if present.count(order.subject) >= order.count:
+    if serving.count(order.key) >= order.count:
         return False
-    if order.subject in orders.reached:
+    if order.key in orders.fulfilled:
         return True
-    waited = now - orders.ordered_at.get(order.subject, now)
-    return waited > scaling.boot_seconds + REPEAT_SECONDS
+    waited = now - orders.ordered_at.get(order.key, now)
+    return waited > scaling.boot_seconds + RESEND_DELAY_SECONDS
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/estimates.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/estimates.py
@@ -14,21 +14,21 @@
 #: Seconds that a full batch adds to the wait for a first token.
 FULL_BATCH_SECONDS = 0.25
 #: Seconds that a request waits for each full batch queued before it.
-QUEUE_SECONDS = 1.5
+QUEUED_BATCH_SECONDS = 1.5
 #: Seconds that a plain call holds a slot, assumed until measured.
 CALL_SECONDS = 0.1
 #: Seconds that each recent failure of an upstream counts for.
-FAILURE_SECONDS = 0.5
+FAILURE_PENALTY_SECONDS = 0.5
 #: Seconds that another data centre counts for: its way and its price.
-FAR_SECONDS = 0.004
+REMOTE_PENALTY_SECONDS = 0.004
 #: Seconds of reading without a token that streams bear; while a prompt is
 #: read, all streams of its upstream stand still.
-BEARABLE_STALL = 0.25
+TOLERATED_STALL_SECONDS = 0.25
 #: Seconds that each second of a longer stall counts for, for each stream.
 STALL_WEIGHT = 1.0
 
 
-class KnownLoads(Protocol):
+class UpstreamLoads(Protocol):
     """Tell what a choice has to know of each upstream."""
 
     def running_at(self, lifetime: Lifetime) -> int:
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RoutingRequest:
     """State what the choice for one request depends on."""
 
     attempt_id: str
@@ -59,8 +59,8 @@
 
 def estimate(
     row: ListedUpstream,
-    ask: Ask,
-    loads: KnownLoads,
+    request: RoutingRequest,
+    loads: UpstreamLoads,
     prefill: int,
     rate: float,
     now: float,
@@ -72,21 +72,29 @@
     """
     lifetime = row.lifetime
     running = loads.running_at(lifetime)
-    reading = (loads.prefill_at(lifetime) + prefill) / rate
-    seconds = _batch_seconds(row, running, ask) + row.warm_up / 10 + reading
-    if reading > BEARABLE_STALL:
-        seconds += running * STALL_WEIGHT * (reading - BEARABLE_STALL)
-    seconds += loads.failures_at(lifetime, now) * FAILURE_SECONDS
-    if row.data_centre != ask.data_centre:
-        seconds += FAR_SECONDS
+    prefill_seconds = (loads.prefill_at(lifetime) + prefill) / rate
+    seconds = (
+        _batch_seconds(row, running, request)
+        + row.warm_up / 10
+        + prefill_seconds
+    )
+    if prefill_seconds > TOLERATED_STALL_SECONDS:
+        seconds += (
+            running * STALL_WEIGHT * (prefill_seconds - TOLERATED_STALL_SECONDS)
+        )
+    seconds += loads.failures_at(lifetime, now) * FAILURE_PENALTY_SECONDS
+    if row.data_centre != request.data_centre:
+        seconds += REMOTE_PENALTY_SECONDS
     return seconds
 
 
-def _batch_seconds(row: ListedUpstream, running: int, ask: Ask) -> float:
+def _batch_seconds(
+    row: ListedUpstream, running: int, request: RoutingRequest
+) -> float:
     slots = max(1, row.slots)
-    if not ask.prompt_tokens:
+    if not request.prompt_tokens:
         return CALL_SECONDS * running / slots + CALL_SECONDS * (
             max(0, running + 1 - slots) / slots
         )
     seconds = FULL_BATCH_SECONDS * running / slots
-    return seconds + QUEUE_SECONDS * max(0, running + 1 - slots) / slots
+    return seconds + QUEUED_BATCH_SECONDS * max(0, running + 1 - slots) / slots
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ComeBack:
+class RetryAfter:
     """Say that no upstream takes a request now, and when one does."""
 
     seconds: float
@@ -51,9 +51,9 @@
     """Hold the last counts of an entry and the grants that came after."""
 
     load: EntryLoad = field(default_factory=EntryLoad)
-    heard_at: float = 0
+    last_report_at: float = 0
     #: Seconds after which it is unheard, by the period that it was told.
-    unheard_after: float = UNHEARD_SECONDS
+    report_timeout: float = UNHEARD_SECONDS
     pending: list[Grant] = field(default_factory=list)
 
 
@@ -64,7 +64,7 @@
     running: Counter[Lifetime] = field(default_factory=Counter)
     prefill: Counter[Lifetime] = field(default_factory=Counter)
     #: Requests that asked for the first time, by service, granted or not.
-    asked: Counter[str] = field(default_factory=Counter)
+    first_attempts: Counter[str] = field(default_factory=Counter)
     _entries: dict[str, EntryGrants] = field(default_factory=dict)
 
     def learn(self, entry: str, load: EntryLoad, now: float) -> None:
@@ -73,27 +73,27 @@
         self._add(row.load, -1)
         self._add(load, 1)
         row.load = load
-        row.heard_at = now
+        row.last_report_at = now
         included = [one for one in row.pending if one.number <= load.seen]
         for grant in included:
             self._count(grant, -1)
         row.pending = row.pending[len(included) :]
 
-    def expect(self, entry: str, unheard_after: float) -> None:
+    def set_report_timeout(self, entry: str, report_timeout: float) -> None:
         """Note how long an entry may be silent, as its reports are due."""
-        self._entries[entry].unheard_after = unheard_after
+        self._entries[entry].report_timeout = report_timeout
 
     def grant(self, entry: str, grant: Grant) -> None:
         """Count a grant until the entry's own counts include it."""
         self._entries.setdefault(entry, EntryGrants()).pending.append(grant)
         self._count(grant, 1)
 
-    def forget_silent(self, now: float) -> None:
+    def drop_silent_entries(self, now: float) -> None:
         """Drop the entries that are not heard any more."""
         silent = [
             entry
             for entry, row in self._entries.items()
-            if now - row.heard_at > row.unheard_after
+            if now - row.last_report_at > row.report_timeout
         ]
         for entry in silent:
             row = self._entries.pop(entry)
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/retry_budget.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/retry_budget.py
@@ -12,7 +12,7 @@
 
 #: Part of what the platform allows that is used, for what entries that died
 #: in the same window had spent.
-SAFE_PART = 0.7
+SAFETY_FACTOR = 0.7
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,8 +29,8 @@
 class SentRequests:
     """Hold the requests and the retries of the last window."""
 
-    first: Spending = field(default_factory=Spending)
-    again: Spending = field(default_factory=Spending)
+    requests: Spending = field(default_factory=Spending)
+    retries: Spending = field(default_factory=Spending)
 
 
 @dataclass(slots=True)
@@ -41,9 +41,9 @@
     entries: int = 1
     _sent: dict[str, SentRequests] = field(default_factory=dict)
 
-    def earn(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request; it earns a part of a retry."""
-        self._of(service).first.spend(1, self.limits.window, now)
+        self._for_service(service).requests.spend(1, self.limits.window, now)
 
     def try_spend(self, service: str, now: float) -> bool:
         """Take the credit for sending one request again.
@@ -51,15 +51,15 @@
         Credit that was not used leaves with its window: saved up, it passed
         the limit as soon as most upstreams refused at once.
         """
-        sent = self._of(service)
+        sent = self._for_service(service)
         window = self.limits.window
         share = self.limits.allowance / max(1, self.entries)
-        earned = sent.first.recent(window, now) * self.limits.ratio
-        credit = (earned + share) * SAFE_PART
-        if sent.again.recent(window, now) + 1 > credit:
+        earned = sent.requests.recent(window, now) * self.limits.ratio
+        credit = (earned + share) * SAFETY_FACTOR
+        if sent.retries.recent(window, now) + 1 > credit:
             return False
-        sent.again.spend(1, window, now)
+        sent.retries.spend(1, window, now)
         return True
 
-    def _of(self, service: str) -> SentRequests:
+    def _for_service(self, service: str) -> SentRequests:
         return self._sent.setdefault(service, SentRequests())
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/sends.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/sends.py
@@ -13,7 +13,7 @@
 
 
 @unique
-class SendEnd(StrEnum):
+class SendOutcome(StrEnum):
     """Name how one send to an upstream ended before any answer part."""
 
     #: No connection, so nothing was sent.
@@ -41,21 +41,21 @@
 
 
 #: Ends after which the request has certainly not run.
-NOT_RUN_ENDS = frozenset(
-    (SendEnd.NOT_SENT, SendEnd.REFUSED, SendEnd.OTHER_LIFETIME),
+NOT_RUN_OUTCOMES = frozenset(
+    (SendOutcome.NOT_SENT, SendOutcome.REFUSED, SendOutcome.OTHER_LIFETIME),
 )
 
 RETRY_REASONS = {
-    SendEnd.NOT_SENT: RetryReason.CONNECT_FAILED,
-    SendEnd.REFUSED: RetryReason.UPSTREAM_REFUSED,
-    SendEnd.OTHER_LIFETIME: RetryReason.UPSTREAM_REFUSED,
-    SendEnd.FAILED: RetryReason.UPSTREAM_ERROR,
-    SendEnd.BROKEN: RetryReason.STREAM_BROKEN,
-    SendEnd.TIMED_OUT: RetryReason.UPSTREAM_TIMEOUT,
+    SendOutcome.NOT_SENT: RetryReason.CONNECT_FAILED,
+    SendOutcome.REFUSED: RetryReason.UPSTREAM_REFUSED,
+    SendOutcome.OTHER_LIFETIME: RetryReason.UPSTREAM_REFUSED,
+    SendOutcome.FAILED: RetryReason.UPSTREAM_ERROR,
+    SendOutcome.BROKEN: RetryReason.STREAM_BROKEN,
+    SendOutcome.TIMED_OUT: RetryReason.UPSTREAM_TIMEOUT,
 }
 
 #: Most sends of one request, whatever their ends.
-MOST_SENDS = 4
+MAX_SENDS = 4
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
 
 
 def next_step(
-    end: SendEnd,
+    outcome: SendOutcome,
     route: Route,
     state: SendState,
     take_retry: Callable[[], bool],
@@ -83,19 +83,19 @@
     ``take_retry`` takes a retry from the budget if there is one and another
     upstream is left; it is asked only where another send is allowed.
     """
-    if end not in NOT_RUN_ENDS:
+    if outcome not in NOT_RUN_OUTCOMES:
         state.may_have_run += 1
-    if _may_send(route, state) and take_retry():
+    if _may_retry(route, state) and take_retry():
         return NextStep.SEND_AGAIN
     if state.proven_not_run:
         return NextStep.ANSWER_NOT_RUN
-    if end is SendEnd.FAILED:
+    if outcome is SendOutcome.FAILED:
         return NextStep.RELAY
     return NextStep.ANSWER_UNKNOWN
 
 
-def _may_send(route: Route, state: SendState) -> bool:
-    if state.sends >= MOST_SENDS:
+def _may_retry(route: Route, state: SendState) -> bool:
+    if state.sends >= MAX_SENDS:
         return False
     if state.proven_not_run:
         return True
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/shortlist.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/shortlist.py
@@ -19,24 +19,24 @@
 Row = TypeVar('Row')
 
 #: Upstreams up to which a choice estimates all of them.
-FULL_SEARCH = 32
+FULL_SEARCH_LIMIT = 32
 #: Upstreams that are compared, around the place of a prompt and spread over the
 #: whole row, and those of them that get a full estimate.
-AROUND = 64
-SPREAD = 48
-ESTIMATED = 8
+NEARBY_COMPARED = 64
+SPREAD_COMPARED = 48
+NEARBY_ESTIMATED = 8
 #: The same among those that have read a part of the prompt, for the last parts
 #: that anybody has read.
-HOLDERS = 24
-ESTIMATED_HOLDERS = 4
-LAST_PARTS = 2
+HOLDERS_COMPARED = 24
+HOLDERS_ESTIMATED = 4
+PARTS_CONSIDERED = 2
 #: Seconds after which what is kept is found anew, and the choices for each
 #: upstream that may come before.
-FRESH_SECONDS = 0.25
-FRESH_CHOICES = 0.5
+MAX_AGE_SECONDS = 0.25
+MAX_CHOICES_PER_UPSTREAM = 0.5
 
 #: Return the seconds that a short and a long prompt would lose at an upstream.
-Weigh = Callable[[Lifetime, Row], tuple[float, float]]
+LoadWeight = Callable[[Lifetime, Row], tuple[float, float]]
 
 
 @dataclass(slots=True)
@@ -47,41 +47,41 @@
     #: Places of the rows on a ring that all nodes share.
     digests: Sequence[int] = ()
     #: Numbers of the rows by lifetime.
-    by_lifetime: Mapping[Lifetime, int] = field(default_factory=dict)
+    index_by_lifetime: Mapping[Lifetime, int] = field(default_factory=dict)
     #: Seconds that a short and a long prompt would lose at each.
     _short: list[float] = field(default_factory=list)
     _long: list[float] = field(default_factory=list)
-    _found_at: float = float('-inf')
+    _refreshed_at: float = float('-inf')
     _choices: int = 0
 
     def preferred(self, digest: int) -> int:
         """Return the number of the row that follows a place on the ring."""
         return bisect_left(self.digests, digest) % len(self.rows)
 
-    def is_old(self, now: float) -> bool:
+    def is_stale(self, now: float) -> bool:
         """Tell whether the loads are to be found anew."""
-        is_used = self._choices > len(self.rows) * FRESH_CHOICES
-        return is_used or now - self._found_at > FRESH_SECONDS
+        is_exhausted = self._choices > len(self.rows) * MAX_CHOICES_PER_UPSTREAM
+        return is_exhausted or now - self._refreshed_at > MAX_AGE_SECONDS
 
-    def find(self, weigh: Weigh[Row], now: float) -> None:
+    def refresh(self, weigh: LoadWeight[Row], now: float) -> None:
         """Find the load of each upstream."""
-        named = zip(self.by_lifetime, self.rows, strict=True)
+        named = zip(self.index_by_lifetime, self.rows, strict=True)
         weights = [weigh(lifetime, row) for lifetime, row in named]
         self._short = [short for short, _ in weights]
         self._long = [long for _, long in weights]
-        self._found_at = now
+        self._refreshed_at = now
         self._choices = 0
 
-    def use(self, lifetime: Lifetime, seconds: float) -> None:
+    def record_choice(self, lifetime: Lifetime, seconds: float) -> None:
         """Note what one more request costs the next at its upstream."""
         self._choices += 1
-        number = self.by_lifetime[lifetime]
-        self._short[number] += seconds
-        self._long[number] += seconds
+        index = self.index_by_lifetime[lifetime]
+        self._short[index] += seconds
+        self._long[index] += seconds
 
-    def numbers(
+    def select(
         self,
-        place: float,
+        position: float,
         slope: float,
         holders: Iterable[Iterable[Lifetime]],
         *,
@@ -94,32 +94,36 @@
         """
         weights = self._long if is_long else self._short
         count = len(weights)
-        center = place * count
+        center = position * count
         step = slope / count
 
-        def least(numbers: Iterable[int], most: int) -> Iterable[int]:
+        def cheapest(indices: Iterable[int], most: int) -> Iterable[int]:
             scores = [
-                (weights[number] + abs(number - center) * step, number)
-                for number in numbers
+                (weights[index] + abs(index - center) * step, index)
+                for index in indices
             ]
-            return (number for _, number in nsmallest(most, scores))
-
-        chosen = set(least(self._compared(center), ESTIMATED))
-        for lifetimes in islice(holders, LAST_PARTS):
-            known = map(self.by_lifetime.get, islice(lifetimes, HOLDERS))
-            listed = (number for number in known if number is not None)
-            chosen.update(least(listed, ESTIMATED_HOLDERS))
+            return (index for _, index in nsmallest(most, scores))
+
+        chosen = set(cheapest(self._compared_indices(center), NEARBY_ESTIMATED))
+        for lifetimes in islice(holders, PARTS_CONSIDERED):
+            known = map(
+                self.index_by_lifetime.get, islice(lifetimes, HOLDERS_COMPARED)
+            )
+            listed = (index for index in known if index is not None)
+            chosen.update(cheapest(listed, HOLDERS_ESTIMATED))
         return chosen
 
-    def _compared(self, center: float) -> Iterable[int]:
+    def _compared_indices(self, center: float) -> Iterable[int]:
         """Return the numbers of the rows that are compared.
 
         Those that are spread over the row are others at each choice.
         """
         count = len(self.rows)
-        first = max(0, min(int(center) - AROUND // 2, count - AROUND))
-        end = min(count, first + AROUND)
-        stride = max(1, (count - AROUND) // SPREAD)
+        first = max(
+            0, min(int(center) - NEARBY_COMPARED // 2, count - NEARBY_COMPARED)
+        )
+        end = min(count, first + NEARBY_COMPARED)
+        stride = max(1, (count - NEARBY_COMPARED) // SPREAD_COMPARED)
         start = self._choices % stride
         return chain(
             range(start, first, stride),
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/sizes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/sizes.py
@@ -15,13 +15,13 @@
 #: Buckets for each doubling of the length.
 BUCKETS_PER_DOUBLING = 2
 #: Tokens up to which all prompts are alike.
-SHORTEST = 64
-BUCKETS = 24
+MIN_TOKENS = 64
+BUCKET_COUNT = 24
 #: Seconds in which the weight of a prompt seen halves.
 SIZE_HALF_LIFE = 20.0
 #: Work of each length that is assumed to have been seen, in tokens, so that
 #: the first prompts do not move everything.
-FIRST_TOKENS = 1000.0
+PRIOR_TOKENS = 1000.0
 
 
 @dataclass(slots=True)
@@ -29,30 +29,30 @@
     """Hold how the work of reading is spread over lengths of prompts."""
 
     _work: list[float] = field(
-        default_factory=lambda: list(repeat(FIRST_TOKENS, BUCKETS)),
+        default_factory=lambda: list(repeat(PRIOR_TOKENS, BUCKET_COUNT)),
     )
-    _faded_at: float = 0
+    _decayed_at: float = 0
 
     def learn(self, tokens: int, now: float) -> None:
         """Count a prompt that is read now."""
-        self._fade(now)
+        self._decay(now)
         self._work[_bucket(tokens)] += reading_work(tokens)
 
-    def place(self, tokens: int) -> float:
+    def position(self, tokens: int) -> float:
         """Return where a prompt belongs, from 0 for short to 1 for long."""
         bucket = _bucket(tokens)
         below = sum(self._work[:bucket]) + self._work[bucket] / 2
         return below / sum(self._work)
 
-    def _fade(self, now: float) -> None:
-        passed = now - self._faded_at
+    def _decay(self, now: float) -> None:
+        passed = now - self._decayed_at
         if passed < 1:
             return
         kept = 0.5 ** (passed / SIZE_HALF_LIFE)
-        self._work = [max(FIRST_TOKENS, work * kept) for work in self._work]
-        self._faded_at = now
+        self._work = [max(PRIOR_TOKENS, work * kept) for work in self._work]
+        self._decayed_at = now
 
 
 def _bucket(tokens: int) -> int:
-    doublings = log2(max(SHORTEST, tokens) / SHORTEST)
-    return min(BUCKETS - 1, int(doublings * BUCKETS_PER_DOUBLING))
+    doublings = log2(max(MIN_TOKENS, tokens) / MIN_TOKENS)
+    return min(BUCKET_COUNT - 1, int(doublings * BUCKETS_PER_DOUBLING))
--- a/packages/spanfall-node/src/spanfall_node/gateway/callers/callers.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/callers/callers.py
@@ -233,7 +233,7 @@
 
     def _note_admitted(self, work: Work) -> None:
         state = self._state
-        state.retries.earn(work.service, state.timers.now())
+        state.retries.record_request(work.service, state.timers.now())
         if work.workspace is not None:
             workspace = work.workspace.name
             state.counters.units_admitted.labels(workspace).inc(work.units)
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -9,16 +9,16 @@
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import (
     OfferedLoad,
-    lost_to_limits,
+    capacity_lost_to_limits,
     needed_upstreams,
-    take_over,
+    restore_demand,
 )
 from spanfall_core.gateway.orders.orders import (
     Order,
     ServiceOrders,
-    count_present,
-    note_accepted,
-    note_refused,
+    count_serving,
+    record_accepted,
+    record_refused,
 )
 
 from spanfall_node.gateway.duties.duties import Cloud
@@ -91,7 +91,7 @@
             return
         now = state.timers.now()
         self._reading.learn(state.fleet.read_work(), now)
-        self._asked.learn(dict(state.grant_book.asked), now)
+        self._asked.learn(dict(state.grant_book.first_attempts), now)
         for service in state.configuration.services.values():
             if service.scaling is not None and service.engine is not None:
                 await self._serve_service(service, now)
@@ -110,9 +110,9 @@
         ]
         self._learn_demand(service, orders, now)
         state.needs[service.name] = orders.demand.peak
-        present = count_present(rows)
+        present = count_serving(rows)
         grown_at = state.directory.grown_at(service.name)
-        orders.demand.find(present.total(), grown_at, now)
+        orders.demand.record_initial_count(present.total(), grown_at, now)
         settle = SETTLE_SECONDS
         if state.tenure.is_first:
             settle = FIRST_SETTLE_SECONDS
@@ -133,7 +133,7 @@
         """Return the orders of a service, at first as the last home left it."""
         known = self._orders.get(service)
         if known is None:
-            demand = take_over(self._state.needs.get(service, 0), now)
+            demand = restore_demand(self._state.needs.get(service, 0), now)
             known = ServiceOrders(demand)
             self._orders[service] = known
         return known
@@ -156,7 +156,7 @@
         speed = state.prompts.speed(service.name)
         needed = needed_upstreams(service.engine, load, speed, len(there))
         limits = state.words.table.rates
-        orders.lost = lost_to_limits(
+        orders.capacity_lost = capacity_lost_to_limits(
             (limits[lifetime] for lifetime in there if lifetime in limits),
             needed,
             self._asked.rates.get(service.name, 0),
@@ -176,14 +176,14 @@
         status = await self._cloud.call('order', call)
         now = state.timers.now()
         if status == 200:
-            note_accepted(order, orders, now)
+            record_accepted(order, orders, now)
         elif status == 409:
-            note_refused(order, orders, now)
+            record_refused(order, orders, now)
         logger.info(
             'Ordered %s, status %s; peak demand %.1f, %s found, reading %s',
             order,
             status,
             orders.demand.peak,
-            orders.demand.found,
+            orders.demand.initial_count,
             state.prompts.speeds.get(order.service),
         )
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -186,8 +186,8 @@
         load = EntryLoad(report.running, report.prefill, message.seen)
         period = state.fleet.period(now)
         state.grant_book.learn(report.key, load, now)
-        state.grant_book.expect(report.key, unheard_after(period))
-        state.grant_book.forget_silent(now)
+        state.grant_book.set_report_timeout(report.key, unheard_after(period))
+        state.grant_book.drop_silent_entries(now)
         totals = None
         if message.wants_totals:
             totals = state.fleet.others(report.key, now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -11,7 +11,7 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.reporting import REPORT_PERIOD
 from spanfall_core.gateway.known.unit_reports import GivenUnits
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import EntryLoad, Grant
 
 from spanfall_node.gateway.links.crash_messages import (
@@ -70,7 +70,7 @@
     """Describe the request that an upstream is wanted for."""
 
     service: str
-    ask: Ask
+    ask: RoutingRequest
 
 
 class AskMessage(msgspec.Struct, frozen=True, tag='ask'):
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -13,7 +13,7 @@
 import anyio
 from spanfall_core.gateway.crashes.crash_signs import settle
 from spanfall_core.gateway.crashes.crashes import (
-    SETTLED_SECONDS,
+    TRIAL_SETTLE_SECONDS,
     CrashTable,
     Standing,
     Trials,
@@ -60,7 +60,7 @@
     ) -> None:
         """Note that an upstream ended under a request."""
         self.trials.end(identity, now)
-        if self.table.note_end(identity, lifetime, now):
+        if self.table.record_crash(identity, lifetime, now):
             self._tell_quarantined(identity, lifetime)
 
     def note_doubt(
@@ -74,9 +74,11 @@
         """Note that an upstream may have ended under a request."""
         self.trials.end(identity, now)
         table = self.table
-        if table.note_doubt(identity, lifetime, now, is_strong=is_strong):
+        if table.record_suspected_crash(
+            identity, lifetime, now, is_strong=is_strong
+        ):
             self._tell_quarantined(identity, lifetime)
-        if table.doubts:
+        if table.suspected_crashes:
             self.doubted.set()
 
     def settle(
@@ -86,19 +88,21 @@
         now: float,
     ) -> None:
         """Learn from the platform's list which doubted upstreams ended."""
-        settled = settle(self.table.doubts, directory, heartbeat, now)
-        for lifetime in settled.living:
-            self.table.absolve(lifetime)
+        settled = settle(
+            self.table.suspected_crashes, directory, heartbeat, now
+        )
+        for lifetime in settled.alive:
+            self.table.record_alive(lifetime)
         for ended in settled.ended:
-            for identity in self.table.confirm(ended, now):
+            for identity in self.table.confirm_crash(ended, now):
                 self._tell_quarantined(identity, ended)
-        if not self.table.doubts:
+        if not self.table.suspected_crashes:
             self.doubted = anyio.Event()
 
     def note_run(self, run: WatchedRun, now: float) -> None:
         """Note how far a watched run has come."""
         if run.stage is RunStage.BEGAN:
-            self.trials.end(run.identity, now + SETTLED_SECONDS)
+            self.trials.end(run.identity, now + TRIAL_SETTLE_SECONDS)
             return
         self.trials.end(run.identity, now)
         if run.stage is RunStage.WHOLE:
@@ -128,8 +132,12 @@
 
     def report(self, now: float) -> CrashReport:
         """Return what is known here, for a new home."""
-        newest = dict(islice(reversed(self.table.ends.items()), MOST_REPORTED))
-        doubts = self.table.doubts
+        newest = dict(
+            islice(
+                reversed(self.table.crashed_upstreams.items()), MOST_REPORTED
+            )
+        )
+        doubts = self.table.suspected_crashes
         ends = {
             key: tuple(rows - doubts.keys()) for key, rows in newest.items()
         }
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/attempt.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/attempt.py
@@ -6,7 +6,7 @@
 
 from spanfall_core.gateway.known.configuration import RouteKind
 from spanfall_core.gateway.known.lifetimes import Lifetime
-from spanfall_core.gateway.routing.sends import SendEnd, SendState
+from spanfall_core.gateway.routing.sends import SendOutcome, SendState
 
 from spanfall_node.gateway.net.client import AnswerHead
 from spanfall_node.gateway.requests.admission import Work
@@ -27,7 +27,7 @@
 class Failed:
     """Say how a send ended, with the upstream's answer if it came whole."""
 
-    end: SendEnd
+    end: SendOutcome
     reason: str
     head: AnswerHead | None = None
     body: bytes = b''
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
@@ -2,8 +2,8 @@
 
 import anyio
 from spanfall_core.gateway.crashes.crashes import Standing
-from spanfall_core.gateway.routing.estimates import Ask
-from spanfall_core.gateway.routing.grants import ComeBack
+from spanfall_core.gateway.routing.estimates import RoutingRequest
+from spanfall_core.gateway.routing.grants import RetryAfter
 
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.attempt import Exchange
@@ -42,8 +42,8 @@
         now = state.timers.now()
         if choice is Standing.SUSPECT:
             seconds, until = TRIAL_STEP, began_at + TRIAL_WAIT_SECONDS
-        elif isinstance(choice, ComeBack):
-            choice = ComeBack(max(TURN_STEP, choice.seconds))
+        elif isinstance(choice, RetryAfter):
+            choice = RetryAfter(max(TURN_STEP, choice.seconds))
             seconds, until = choice.seconds, turn_until
         else:
             return choice
@@ -52,9 +52,9 @@
         await anyio.sleep(seconds)
 
 
-def _ask(state: GatewayState, exchange: Exchange) -> Ask:
+def _ask(state: GatewayState, exchange: Exchange) -> RoutingRequest:
     work = exchange.work
-    return Ask(
+    return RoutingRequest(
         work.attempt_id,
         state.cfg.data_centre,
         work.parts,
@@ -68,18 +68,20 @@
 def _after_backoff(
     state: GatewayState,
     service: str,
-    ask: Ask,
+    ask: RoutingRequest,
     choice: Outcome,
 ) -> Outcome:
     """Say when to come back where only a back-off keeps a request from serving."""
-    if choice is not None and not isinstance(choice, ComeBack):
+    if choice is not None and not isinstance(choice, RetryAfter):
         return choice
     rows = state.directory.serving(service)
     untried = (row.lifetime for row in rows if row.lifetime not in ask.tried)
     backoff = state.words.backoffs.first_end(untried, state.timers.now())
     if backoff is None:
         return choice
-    return ComeBack(backoff if choice is None else min(backoff, choice.seconds))
+    return RetryAfter(
+        backoff if choice is None else min(backoff, choice.seconds)
+    )
 
 
 def wait_for_any(state: GatewayState, service: str) -> float | None:
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 import anyio
-from spanfall_core.gateway.crashes.crashes import Sign
+from spanfall_core.gateway.crashes.crashes import ProbeResult
 from spanfall_core.gateway.known.identity import RequestIdentity
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
@@ -58,7 +58,9 @@
     pool: ConnectionPool
     _send: Send | None = field(default=None)
     #: What the last probe of an upstream showed, and when.
-    _probed: dict[Lifetime, tuple[float, Sign]] = field(default_factory=dict)
+    _probed: dict[Lifetime, tuple[float, ProbeResult]] = field(
+        default_factory=dict
+    )
     #: Requests that wait to be examined, and the event that tells of one.
     _waiting: deque[Unanswered] = field(default_factory=deque)
     _is_waiting: anyio.Event = field(default_factory=anyio.Event)
@@ -81,7 +83,7 @@
         The home knows it before it is asked for another upstream.
         """
         sign = await self._look(upstream)
-        if sign is Sign.LIVES:
+        if sign is ProbeResult.ALIVE:
             await self.note_run(identity, RunStage.OVER)
             return
         await self._note(identity, upstream, sign)
@@ -108,7 +110,7 @@
             while self._waiting:
                 waited = self._waiting.popleft()
                 sign = await self._probe_rarely(waited.upstream)
-                if sign in {Sign.ENDED, Sign.NO_ANSWER}:
+                if sign in {ProbeResult.ENDED, ProbeResult.NO_ANSWER}:
                     await self._note(waited.identity, waited.upstream, sign)
             self._is_waiting = anyio.Event()
 
@@ -137,35 +139,37 @@
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
-        sign: Sign,
+        sign: ProbeResult,
     ) -> None:
         """Note what a sign tells, here and at the home."""
         crashes = self.state.crashes
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        if sign is Sign.ENDED:
+        if sign is ProbeResult.ENDED:
             crashes.note_end(identity, lifetime, now)
             report = CrashReport({identity: (lifetime,)})
         else:
-            is_strong = sign is Sign.NO_ANSWER
+            is_strong = sign is ProbeResult.NO_ANSWER
             crashes.note_doubt(identity, lifetime, now, is_strong=is_strong)
             report = CrashReport(doubts={identity: {lifetime: is_strong}})
         if self._send is not None:
             await self._send(report)
 
-    async def _look(self, upstream: ListedUpstream) -> Sign:
+    async def _look(self, upstream: ListedUpstream) -> ProbeResult:
         """Return what an upstream shows just after a send to it broke."""
         before = self.pool.open_connections(upstream.lifetime)
         sign = await _probe(upstream.address)
-        if sign is not Sign.TAKES_CONNECTIONS:
+        if sign is not ProbeResult.ACCEPTS_CONNECTIONS:
             return sign
         after = self.pool.open_connections(upstream.lifetime)
-        return Sign.LIVES if before & after else sign
+        return ProbeResult.ALIVE if before & after else sign
 
-    async def _probe_rarely(self, upstream: ListedUpstream) -> Sign:
+    async def _probe_rarely(self, upstream: ListedUpstream) -> ProbeResult:
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        probed_at, sign = self._probed.get(lifetime, (-math.inf, Sign.LIVES))
+        probed_at, sign = self._probed.get(
+            lifetime, (-math.inf, ProbeResult.ALIVE)
+        )
         if now - probed_at < PROBE_PERIOD:
             return sign
         sign = await _probe(upstream.address)
@@ -178,15 +182,17 @@
         return sign
 
 
-async def _probe(address: str) -> Sign:
+async def _probe(address: str) -> ProbeResult:
     try:
         conn = await connect(address, PROBE_SECONDS)
     except NobodyListensError:
-        return Sign.ENDED
+        return ProbeResult.ENDED
     except NotSentError:
-        return Sign.NO_ANSWER
+        return ProbeResult.NO_ANSWER
     try:
         is_closed = await conn.ends_within(CLOSE_SECONDS)
     finally:
         await conn.close()
-    return Sign.NO_ANSWER if is_closed else Sign.TAKES_CONNECTIONS
+    return (
+        ProbeResult.NO_ANSWER if is_closed else ProbeResult.ACCEPTS_CONNECTIONS
+    )
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -7,7 +7,7 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.routing.balance import choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import FleetLoads, Grant
 
 from spanfall_node.gateway.links.messages import GrantMessage, GrantRequest
@@ -43,7 +43,7 @@
     if standing in NOT_SENT:
         return GrantMessage(number, standing=standing)
     if not request.ask.tried:
-        state.grant_book.asked[request.service] += 1
+        state.grant_book.first_attempts[request.service] += 1
     serving = state.directory.serving(request.service)
     withheld = _withheld(state, now)
     candidates = serving
@@ -91,7 +91,9 @@
     return HOMELESS_SECONDS
 
 
-def is_any_limited(state: GatewayState, service: str, ask: Ask) -> bool:
+def is_any_limited(
+    state: GatewayState, service: str, ask: RoutingRequest
+) -> bool:
     """Tell whether room at an upstream with a limit would serve a request."""
     limited = state.words.table.rates
     closed = ask.tried | ask.avoided
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -10,8 +10,8 @@
 
 from spanfall_core.gateway.crashes.crashes import Standing
 from spanfall_core.gateway.routing.balance import Choice, choose
-from spanfall_core.gateway.routing.estimates import Ask
-from spanfall_core.gateway.routing.grants import ComeBack, EntryLoad
+from spanfall_core.gateway.routing.estimates import RoutingRequest
+from spanfall_core.gateway.routing.grants import EntryLoad, RetryAfter
 
 from spanfall_node.gateway.links.messages import (
     AskMessage,
@@ -38,7 +38,7 @@
     (Standing.SUSPECT, Standing.HELD, Standing.QUARANTINED),
 )
 #: What a choice leads to; None: no upstream serves.
-Outcome = Choice | ComeBack | Standing | None
+Outcome = Choice | RetryAfter | Standing | None
 
 #: Outcomes of a choice, as counted.
 AS_HOME = 'as-home'
@@ -73,7 +73,7 @@
     async def choose(
         self,
         service: str,
-        ask: Ask,
+        ask: RoutingRequest,
     ) -> Outcome:
         """Return the upstream for a request, if any serves.
 
@@ -98,7 +98,7 @@
     async def _ask_home(
         self,
         service: str,
-        ask: Ask,
+        ask: RoutingRequest,
     ) -> Outcome:
         state = self.state
         request = GrantRequest(service, ask)
@@ -127,7 +127,7 @@
         if grant is None:
             if answer.standing in WITHHELD:
                 return answer.standing
-            return ComeBack(answer.wait) if answer.wait else None
+            return RetryAfter(answer.wait) if answer.wait else None
         row = self.state.directory.rows.get(grant.lifetime)
         if row is None or not row.is_serving:
             return None
@@ -144,7 +144,7 @@
     def _choose_alone(
         self,
         service: str,
-        ask: Ask,
+        ask: RoutingRequest,
     ) -> Outcome:
         """Choose from what is known here.
 
@@ -166,5 +166,5 @@
             words.table.rates.keys() | words.backoffs.active(now),
         )
         if choice is None and is_any_limited(state, service, ask):
-            return ComeBack(HOMELESS_SECONDS)
+            return RetryAfter(HOMELESS_SECONDS)
         return choice
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -11,11 +11,11 @@
 import anyio
 from spanfall_core.gateway.crashes.crashes import Standing
 from spanfall_core.gateway.routing.balance import Choice
-from spanfall_core.gateway.routing.grants import ComeBack
+from spanfall_core.gateway.routing.grants import RetryAfter
 from spanfall_core.gateway.routing.sends import (
     RETRY_REASONS,
     NextStep,
-    SendEnd,
+    SendOutcome,
     next_step,
 )
 from spanfall_core.reasons import RefusalReason
@@ -116,7 +116,7 @@
 ) -> None:
     while True:
         choice = await choose_or_wait(state, access.grants, exchange)
-        if choice is None or isinstance(choice, ComeBack):
+        if choice is None or isinstance(choice, RetryAfter):
             await _end_with_nothing_left(state, exchange, choice)
             return
         if isinstance(choice, Standing):
@@ -164,7 +164,7 @@
     if is_watched:
         exchange.tell_began = partial(note_run, RunStage.BEGAN)
     ended = await _send_or_note(state, access, exchange, choice)
-    if isinstance(ended, Failed) and ended.end is SendEnd.BROKEN:
+    if isinstance(ended, Failed) and ended.end is SendOutcome.BROKEN:
         await access.crashes.examine(identity, choice.upstream)
     elif is_watched:
         is_whole = isinstance(ended, Answered)
@@ -196,7 +196,7 @@
 async def _end_with_nothing_left(
     state: GatewayState,
     exchange: Exchange,
-    turn: ComeBack | None,
+    turn: RetryAfter | None,
 ) -> None:
     if exchange.started:
         await _cut(state, exchange, 'no upstream is left')
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
@@ -5,7 +5,7 @@
 
 import anyio
 from spanfall_core.gateway.routing.balance import Choice
-from spanfall_core.gateway.routing.sends import SendEnd
+from spanfall_core.gateway.routing.sends import SendOutcome
 
 from spanfall_node.gateway.net.client import AnswerHead, Connection
 from spanfall_node.gateway.net.errors import (
@@ -65,7 +65,7 @@
         return await _send_over(state, pool, exchange, choice, pending)
     except NotSentError as exc:
         _note_failure(state, choice, UNREACHABLE_WEIGHT)
-        return Failed(SendEnd.NOT_SENT, exc.reason)
+        return Failed(SendOutcome.NOT_SENT, exc.reason)
     finally:
         pending.done()
         state.loads.end(upstream.lifetime)
@@ -120,7 +120,7 @@
         raise
     except (BrokenCallError, EventTooLargeError) as exc:
         _note_failure(state, choice, 1)
-        return Failed(SendEnd.BROKEN, _reason(exc))
+        return Failed(SendOutcome.BROKEN, _reason(exc))
     finally:
         with anyio.CancelScope(shield=True):
             await pool.give_back(upstream.lifetime, conn)
@@ -202,21 +202,25 @@
     names = state.platform.names
     if head.status == OTHER_LIFETIME:
         state.directory.end(choice.upstream.lifetime)
-        return Failed(SendEnd.OTHER_LIFETIME, 'another lifetime answers there')
+        return Failed(
+            SendOutcome.OTHER_LIFETIME, 'another lifetime answers there'
+        )
     if head.header(names.not_run):
         if head.status in PROMISES:
             _note_refusal(state, choice)
-            return Failed(SendEnd.REFUSED, f'refused with {head.status}')
+            return Failed(SendOutcome.REFUSED, f'refused with {head.status}')
         return None
     if head.status in PROMISES:
         _note_failure(state, choice, 1)
-        return Failed(SendEnd.BROKEN, f'{head.status} but may have run')
+        return Failed(SendOutcome.BROKEN, f'{head.status} but may have run')
     if head.status >= 500:
         _note_failure(state, choice, 1)
-        return Failed(SendEnd.FAILED, f'failed with {head.status}', head, body)
+        return Failed(
+            SendOutcome.FAILED, f'failed with {head.status}', head, body
+        )
     if head.status < 300 and not head.header(names.signature):
         _note_failure(state, choice, 1)
-        return Failed(SendEnd.BROKEN, 'success without a signature')
+        return Failed(SendOutcome.BROKEN, 'success without a signature')
     return None
 
 
@@ -228,7 +232,7 @@
     pending: Prefill,
 ) -> Answered | Failed:
     if not head.header(state.platform.names.signature):
-        return Failed(SendEnd.BROKEN, 'a stream without a signature')
+        return Failed(SendOutcome.BROKEN, 'a stream without a signature')
     exchange.events.restart()
     while True:
         part = await conn.read_part()
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -18,9 +18,9 @@
 from spanfall_core.gateway.orders.demand import OfferedLoad, needed_upstreams
 from spanfall_core.gateway.orders.orders import (
     ServiceOrders,
-    count_present,
-    note_accepted,
-    note_refused,
+    count_serving,
+    record_accepted,
+    record_refused,
 )
 from spanfall_node.gateway.duties.capacity_duty import SETTLE_SECONDS
 
@@ -128,10 +128,10 @@
             for key, row in self.rows.items()
             if key not in self.boots and key not in self.goes
         ]
-        present = count_present(listed)
+        present = count_serving(listed)
         demand = self.orders.demand
         demand.learn(needed, self.now)
-        demand.find(present.total(), self.now, self.now)
+        demand.record_initial_count(present.total(), self.now, self.now)
         if self.now < self.settles_at:
             return
         planned = plan_orders('llm', SCALING, self.orders, present, self.now)
@@ -139,19 +139,19 @@
             self._take(order)
 
     def _take(self, order) -> None:
-        place, reclaimable = order.subject
+        place, reclaimable = order.key
         have = [
             key
             for key, row in self.rows.items()
-            if (row.data_centre, row.reclaimable) == order.subject
+            if (row.data_centre, row.reclaimable) == order.key
             and key not in self.goes
         ]
         missing = order.count - len(have)
         if missing > 0 and reclaimable and self.now < self.dry_until:
-            note_refused(order, self.orders, self.now)
+            record_refused(order, self.orders, self.now)
             return
         self._note(order, missing)
-        note_accepted(order, self.orders, self.now)
+        record_accepted(order, self.orders, self.now)
         for _ in range(missing):
             key = self._add(place, reclaimable=reclaimable)
             self.boots[key] = self.now + SCALING.boot_seconds
@@ -162,11 +162,11 @@
         recent = [
             change
             for at, subject, change in self.sent
-            if subject == order.subject and self.now - at < SCALING.boot_seconds
+            if subject == order.key and self.now - at < SCALING.boot_seconds
         ]
         if any(change * missing < 0 for change in recent):
             self.reversals += 1
-        self.sent.append((self.now, order.subject, missing))
+        self.sent.append((self.now, order.key, missing))
 
     def _measure(self) -> None:
         busy = BUSY_ENGINES * self.pattern(self.now)
--- a/tests/test_gateway_crash_signs.py
+++ b/tests/test_gateway_crash_signs.py
@@ -10,12 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from spanfall_core.gateway.crashes.crash_signs import (
-    LONGEST_DOUBT,
-    Settled,
-    listed_seconds,
+    MAX_SUSPECTED_SECONDS,
+    SettledCrashes,
+    max_listing_delay,
     settle,
 )
-from spanfall_core.gateway.crashes.crashes import CrashTable, Doubt, Standing
+from spanfall_core.gateway.crashes.crashes import (
+    CrashTable,
+    Standing,
+    SuspectedCrash,
+)
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.listed import ListedUpstream
 
@@ -41,33 +45,33 @@
 
 def doubted(*names, since=0, is_strong=True):
     """Return doubts of some upstreams."""
-    return {name: Doubt(since, is_strong) for name in names}
+    return {name: SuspectedCrash(since, is_strong) for name in names}
 
 
 def test_an_entry_that_went_shows_an_end():
     directory = listing([upstream('u-1')], proved_at=1)
     found = settle(doubted('u-1', 'u-2'), directory, HEARTBEAT, 1)
-    assert found == Settled(ended=('u-2',))
+    assert found == SettledCrashes(ended=('u-2',))
 
 
 def test_an_older_list_tells_nothing():
     directory = listing([upstream('u-1')], proved_at=1)
     found = settle(doubted('u-2', since=2), directory, HEARTBEAT, 3)
-    assert found == Settled()
+    assert found == SettledCrashes()
 
 
 def test_another_one_at_its_address_shows_an_end():
     rows = [upstream('u-1', 'a:1'), upstream('u-2', 'a:1')]
     found = settle(doubted('u-1'), listing(rows, proved_at=1), HEARTBEAT, 1)
-    assert found == Settled(ended=('u-1',))
+    assert found == SettledCrashes(ended=('u-1',))
 
 
 @pytest.mark.parametrize('heartbeat', (0.4, 1.2, 3.0))
 def test_an_entry_that_stays_shows_a_life(heartbeat):
     rows = [upstream('u-1')]
-    late = listed_seconds(heartbeat)
-    for proved_at, found in ((late - 0.1, Settled()), (late, None)):
-        expected = found or Settled(living=('u-1',))
+    late = max_listing_delay(heartbeat)
+    for proved_at, found in ((late - 0.1, SettledCrashes()), (late, None)):
+        expected = found or SettledCrashes(alive=('u-1',))
         directory = listing(rows, proved_at=proved_at)
         assert settle(doubted('u-1'), directory, heartbeat, late) == expected
 
@@ -75,19 +79,19 @@
 def test_an_upstream_that_begins_to_leave_lives():
     directory = listing([upstream('u-1', leaving=True)], proved_at=1)
     found = settle(doubted('u-1'), directory, HEARTBEAT, 1)
-    assert found == Settled(living=('u-1',))
+    assert found == SettledCrashes(alive=('u-1',))
 
 
 def test_a_doubt_ends_though_the_store_stays_away():
     directory = listing([upstream('u-1')], proved_at=0)
-    found = settle(doubted('u-1'), directory, HEARTBEAT, LONGEST_DOUBT)
-    assert found == Settled(living=('u-1',))
+    found = settle(doubted('u-1'), directory, HEARTBEAT, MAX_SUSPECTED_SECONDS)
+    assert found == SettledCrashes(alive=('u-1',))
 
 
 def broken_at(table, *names, is_strong=True, identity=CAUSE):
     """Note that sends of a request broke at some upstreams."""
     for name in names:
-        table.note_doubt(identity, name, 0, is_strong=is_strong)
+        table.record_suspected_crash(identity, name, 0, is_strong=is_strong)
 
 
 def test_doubts_hold_and_ends_convict():
@@ -96,20 +100,20 @@
     assert table.standing(CAUSE, 0) is Standing.SUSPECT
     broken_at(table, 'u-3')
     assert table.standing(CAUSE, 0) is Standing.HELD
-    assert [table.confirm(name, 1) for name in ('u-1', 'u-2')] == [[], []]
+    assert [table.confirm_crash(name, 1) for name in ('u-1', 'u-2')] == [[], []]
     assert table.standing(CAUSE, 1) is Standing.HELD
-    assert table.confirm('u-3', 1) == [CAUSE]
+    assert table.confirm_crash('u-3', 1) == [CAUSE]
     assert table.standing(CAUSE, 1) is Standing.QUARANTINED
 
 
 def test_an_upstream_that_lives_absolves():
     table = CrashTable()
     broken_at(table, 'u-1', 'u-2', 'u-3')
-    table.absolve('u-2')
+    table.record_alive('u-2')
     assert table.standing(CAUSE, 0) is Standing.SUSPECT
-    table.absolve('u-1')
+    table.record_alive('u-1')
     assert table.standing(CAUSE, 0) is Standing.WATCHED
-    table.absolve('u-3')
+    table.record_alive('u-3')
     assert table.standing(CAUSE, 0) is Standing.FREE
 
 
@@ -133,10 +137,10 @@
     names = ('u-1', 'u-2', 'u-3')
     for identity in (CAUSE, 'beside'):
         broken_at(table, *names, is_strong=False, identity=identity)
-    assert not any(table.confirm(name, 1) for name in names)
+    assert not any(table.confirm_crash(name, 1) for name in names)
     for identity in (CAUSE, 'beside'):
         assert table.standing(identity, 1) is Standing.SUSPECT
-    assert table.note_end(CAUSE, 'u-4', 2)
+    assert table.record_crash(CAUSE, 'u-4', 2)
     assert table.standing('beside', 2) is Standing.FREE
 
 
@@ -144,33 +148,35 @@
 class Course:
     """Let sends of some requests break, and lists settle what is open."""
 
-    luck: Random
+    rng: Random
     table: CrashTable = field(default_factory=CrashTable)
     ended: set[str] = field(default_factory=set)
     broken: dict[str, set[str]] = field(default_factory=dict)
 
     def step(self, number, sign):
         """Let one send break, or one upstream show that it lives."""
-        identity = self.luck.choice(('a', 'b', 'c'))
-        lifetime = f'u-{self.luck.randrange(number + 1)}'
+        identity = self.rng.choice(('a', 'b', 'c'))
+        lifetime = f'u-{self.rng.randrange(number + 1)}'
         if sign == 'lives':
-            if lifetime in self.table.doubts:
-                self.table.absolve(lifetime)
+            if lifetime in self.table.suspected_crashes:
+                self.table.record_alive(lifetime)
             return
         self.broken.setdefault(identity, set()).add(lifetime)
         if sign == 'ended':
             self.ended.add(lifetime)
-            self.table.note_end(identity, lifetime, 0)
+            self.table.record_crash(identity, lifetime, 0)
         else:
             is_strong = sign == 'strong'
-            self.table.note_doubt(identity, lifetime, 0, is_strong=is_strong)
+            self.table.record_suspected_crash(
+                identity, lifetime, 0, is_strong=is_strong
+            )
 
     def settle_one(self):
         """Let the list show now and then that one has ended."""
-        if self.luck.random() < 0.2 and self.table.doubts:
-            over = self.luck.choice(sorted(self.table.doubts))
+        if self.rng.random() < 0.2 and self.table.suspected_crashes:
+            over = self.rng.choice(sorted(self.table.suspected_crashes))
             self.ended.add(over)
-            self.table.confirm(over, 0)
+            self.table.confirm_crash(over, 0)
 
 
 SIGNS = ('ended', 'strong', 'weak', 'lives')
@@ -185,4 +191,4 @@
         course.settle_one()
         for refused in course.table.quarantined:
             assert len(course.broken[refused] & course.ended) >= 3
-    assert not course.table.doubts.keys() & course.ended
+    assert not course.table.suspected_crashes.keys() & course.ended
--- a/tests/test_gateway_crash_table.py
+++ b/tests/test_gateway_crash_table.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from spanfall_core.gateway.crashes.crashes import (
-    MOST_QUARANTINED,
-    MOST_REMEMBERED,
+    MAX_QUARANTINED,
+    MAX_TRACKED_REQUESTS,
+    MAX_TRIAL_SECONDS,
     QUARANTINE_SECONDS,
-    QUARANTINED_AFTER,
-    TRIAL_SECONDS,
+    QUARANTINE_THRESHOLD,
     CrashTable,
     Standing,
     Trials,
@@ -33,7 +33,7 @@
 class Fleet:
     """Hold the requests that run and the upstreams that are alive."""
 
-    luck: Random
+    rng: Random
     table: CrashTable = field(default_factory=CrashTable)
     trials: Trials = field(default_factory=Trials)
     now: float = 0
@@ -75,7 +75,7 @@
             if not self.trials.try_begin('s', name, self.now):
                 return
         self.waiting.remove(name)
-        self.runs[name] = (self.luck.choice(self.alive), RUN_STEPS)
+        self.runs[name] = (self.rng.choice(self.alive), RUN_STEPS)
 
     def end(self, upstream):
         """End an upstream; all that it runs breaks and comes again."""
@@ -83,11 +83,11 @@
         self.alive.append(f'u-{self.born}')
         self.born += 1
         broken = [key for key, run in self.runs.items() if run[0] == upstream]
-        self.luck.shuffle(broken)
+        self.rng.shuffle(broken)
         for name in broken:
             self.runs.pop(name)
             self.trials.end(name, self.now)
-            self.table.note_end(name, upstream, self.now)
+            self.table.record_crash(name, upstream, self.now)
             self.waiting.append(name)
 
 
@@ -100,7 +100,7 @@
         if step in cause_at:
             fleet.waiting.append(CAUSE)
         if step in waves:
-            for upstream in fleet.luck.sample(fleet.alive, 3):
+            for upstream in fleet.rng.sample(fleet.alive, 3):
                 fleet.end(upstream)
         fleet.step()
     return fleet
@@ -111,7 +111,7 @@
 def test_the_cause_is_found_and_nobody_else(seed, cause_at):
     fleet = play(seed, {*cause_at, 60}, set())
     assert list(fleet.table.quarantined) == [CAUSE]
-    assert fleet.ended_by_cause == QUARANTINED_AFTER
+    assert fleet.ended_by_cause == QUARANTINE_THRESHOLD
     assert not fleet.waiting
     assert not fleet.runs
 
@@ -130,12 +130,12 @@
 
 def test_an_end_that_is_explained_counts_no_more():
     table = CrashTable()
-    for number in range(QUARANTINED_AFTER):
-        table.note_end('beside', f'u-{number}', 0)
+    for number in range(QUARANTINE_THRESHOLD):
+        table.record_crash('beside', f'u-{number}', 0)
         if number == 1:
             table.clear('beside')
-        table.note_end(CAUSE, f'u-{number}', 0)
-    table.note_end('told late', 'u-2', 0)
+        table.record_crash(CAUSE, f'u-{number}', 0)
+    table.record_crash('told late', 'u-2', 0)
     assert table.standing('beside', 0) is Standing.FREE
     assert table.standing('told late', 0) is Standing.FREE
 
@@ -144,7 +144,7 @@
 def test_a_whole_answer_clears(ends):
     table = CrashTable()
     for number in range(ends):
-        table.note_end('r', f'u-{number}', 0)
+        table.record_crash('r', f'u-{number}', 0)
     assert table.standing('r', 0) is not Standing.FREE
     table.clear('r')
     assert table.standing('r', 0) is Standing.FREE
@@ -152,33 +152,33 @@
 
 def test_endless_requests_displace_no_suspect():
     table = CrashTable()
-    table.note_end('suspect', 'u-0', 0)
-    table.note_end('suspect', 'u-1', 0)
-    for number in range(MOST_REMEMBERED + 10):
-        table.note_end(f'r-{number}', f'u-{number}', 0)
-    assert len(table.ends) <= MOST_REMEMBERED
+    table.record_crash('suspect', 'u-0', 0)
+    table.record_crash('suspect', 'u-1', 0)
+    for number in range(MAX_TRACKED_REQUESTS + 10):
+        table.record_crash(f'r-{number}', f'u-{number}', 0)
+    assert len(table.crashed_upstreams) <= MAX_TRACKED_REQUESTS
     assert table.standing('suspect', 0) is Standing.SUSPECT
 
 
 def test_quarantines_are_bounded():
     table = CrashTable()
-    for number in range(MOST_QUARANTINED + 10):
+    for number in range(MAX_QUARANTINED + 10):
         table.quarantine(f'r-{number}', 1)
-    assert len(table.quarantined) == MOST_QUARANTINED
-    assert table.standing(f'r-{MOST_QUARANTINED}', 0) is Standing.QUARANTINED
+    assert len(table.quarantined) == MAX_QUARANTINED
+    assert table.standing(f'r-{MAX_QUARANTINED}', 0) is Standing.QUARANTINED
 
 
 def test_a_trial_that_nobody_ends_is_over_in_time():
     trials = Trials()
     assert trials.try_begin('s', 'a', 0)
-    assert not trials.try_begin('s', 'b', TRIAL_SECONDS / 2)
-    assert trials.try_begin('other', 'c', TRIAL_SECONDS / 2)
-    assert trials.try_begin('s', 'b', TRIAL_SECONDS)
+    assert not trials.try_begin('s', 'b', MAX_TRIAL_SECONDS / 2)
+    assert trials.try_begin('other', 'c', MAX_TRIAL_SECONDS / 2)
+    assert trials.try_begin('s', 'b', MAX_TRIAL_SECONDS)
 
 
 def test_a_quarantine_stands_for_its_time():
     table = CrashTable()
-    for number in range(QUARANTINED_AFTER):
-        table.note_end(CAUSE, f'u-{number}', 5)
+    for number in range(QUARANTINE_THRESHOLD):
+        table.record_crash(CAUSE, f'u-{number}', 5)
     assert table.standing(CAUSE, QUARANTINE_SECONDS) is Standing.QUARANTINED
     assert table.standing(CAUSE, QUARANTINE_SECONDS + 5) is Standing.FREE
--- a/tests/test_gateway_demand.py
+++ b/tests/test_gateway_demand.py
@@ -3,12 +3,12 @@
 from spanfall_core.gateway.known.configuration import EngineLimits
 from spanfall_core.gateway.known.engine_model import ReadingSpeed
 from spanfall_core.gateway.orders.demand import (
-    GOOD_BATCH,
-    GOOD_READING,
     PEAK_HALF_LIFE,
+    TARGET_BATCH_UTILIZATION,
+    TARGET_PREFILL_UTILIZATION,
     Demand,
-    HeldMost,
     OfferedLoad,
+    SlidingMaximum,
     needed_upstreams,
 )
 
@@ -25,17 +25,19 @@
 def test_need_counts_running_and_reading():
     engine = EngineLimits(slots=32, cache_tokens=1)
     speed = ReadingSpeed(rate=60_000)
-    work_rate = 2 * speed.rate * GOOD_READING
-    reading = OfferedLoad(work_rate=work_rate)
-    both = OfferedLoad(5 * engine.slots * GOOD_BATCH, work_rate)
-    assert needed_upstreams(engine, OfferedLoad(), speed, there=9) == 0
-    assert 1.9 < needed_upstreams(engine, reading, speed, there=9) < 2.1
-    assert 6.9 < needed_upstreams(engine, both, speed, there=9) < 7.1
+    prefill_rate = 2 * speed.rate * TARGET_PREFILL_UTILIZATION
+    reading = OfferedLoad(prefill_rate=prefill_rate)
+    both = OfferedLoad(
+        5 * engine.slots * TARGET_BATCH_UTILIZATION, prefill_rate
+    )
+    assert needed_upstreams(engine, OfferedLoad(), speed, present=9) == 0
+    assert 1.9 < needed_upstreams(engine, reading, speed, present=9) < 2.1
+    assert 6.9 < needed_upstreams(engine, both, speed, present=9) < 7.1
     faster = ReadingSpeed(rate=120_000)
-    assert 5.9 < needed_upstreams(engine, both, faster, there=9) < 6.1
+    assert 5.9 < needed_upstreams(engine, both, faster, present=9) < 6.1
 
 
 def test_counts_fall_only_after_a_while():
-    held = HeldMost()
+    held = SlidingMaximum()
     counts = [held.learn(count, 4, now) for now, count in enumerate('5343322')]
     assert counts == list('5555443')
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -10,7 +10,7 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.reporting import UNHEARD_SECONDS
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import (
     EntryLoad,
     FleetLoads,
@@ -33,7 +33,7 @@
     """Let the home choose for one request of an entry."""
     choice = choose(
         UPSTREAMS,
-        Ask(f'a{entry}{number}', 'north', prompt_tokens=9000),
+        RoutingRequest(f'a{entry}{number}', 'north', prompt_tokens=9000),
         FleetLoads(book, Loads()),
         PromptHistory(),
         0,
@@ -71,7 +71,7 @@
     book = GrantBook()
     book.learn('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
     book.grant('e', Grant(1, 'u-1', 5))
-    book.forget_silent(UNHEARD_SECONDS + 1)
+    book.drop_silent_entries(UNHEARD_SECONDS + 1)
     assert not book.running
     assert not book.prefill
 
@@ -114,7 +114,7 @@
     await wait_until(lambda: len(home.directory.rows) == 2)
     await wait_until(lambda: len(other.directory.rows) == 2)
     grants = Grants(home)
-    asked = Ask('a1', 'north')
+    asked = RoutingRequest('a1', 'north')
     first = await grants.choose(SERVICE, asked)
     home.loads.begin(first.upstream.upstream_id, 0)
     second = await grants.choose(SERVICE, asked)
@@ -140,12 +140,14 @@
     grants = Grants(state)
     grants.connect(never_answered)
     for number in range(3):
-        choice = await grants.choose(SERVICE, Ask(f'a{number}', 'north'))
+        choice = await grants.choose(
+            SERVICE, RoutingRequest(f'a{number}', 'north')
+        )
         assert choice is not None
     assert asked == [1]
     assert grants.load().seen == 1
     await anyio.sleep(ALONE_SECONDS)
-    assert await grants.choose(SERVICE, Ask('a4', 'north'))
+    assert await grants.choose(SERVICE, RoutingRequest('a4', 'north'))
     assert asked == [1, 2]
 
 
@@ -162,5 +164,5 @@
         grants.learn(GrantMessage(number, Grant(number, 'gone', 0)))
 
     grants.connect(grant_gone)
-    choice = await grants.choose(SERVICE, Ask('a1', 'north'))
+    choice = await grants.choose(SERVICE, RoutingRequest('a1', 'north'))
     assert choice.upstream.upstream_id in state.directory.rows
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -12,7 +12,7 @@
 from spanfall_core.gateway.known.prefixes import PromptPart
 from spanfall_core.gateway.known.statements import KnownWord
 from spanfall_core.gateway.known.unit_reports import GivenUnits
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import EntryLoad, Grant
 from spanfall_node.gateway.links.crash_messages import (
     CrashReport,
@@ -40,7 +40,7 @@
 IDENTITY = request_identity('w', 'h', 'POST', '/', b'x')
 ROW = ListedUpstream('u-1', 'llm', '10.0.0.1:80', 'north', 8, born=1000)
 LOAD = EntryLoad({LIFETIME: 2}, {LIFETIME: 900}, 7)
-ASK = Ask(
+ASK = RoutingRequest(
     'r',
     'north',
     (PromptPart('a', 100),),
--- a/tests/test_gateway_order_patterns.py
+++ b/tests/test_gateway_order_patterns.py
@@ -13,7 +13,7 @@
 from fleet_world import FleetWorld, count_kinds
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.listed import ListedUpstream
-from spanfall_core.gateway.orders.demand import Demand, take_over
+from spanfall_core.gateway.orders.demand import Demand, restore_demand
 
 #: What the operator runs before the system starts, and the seconds until
 #: there is traffic, as of the deployments.
@@ -152,13 +152,13 @@
     for second in range(5):
         directory.apply(second + 1, rows, second, float('-inf'))
     demand = Demand()
-    demand.find(50, directory.grown_at('llm'), 5)
-    assert demand.is_complete(5)
+    demand.record_initial_count(50, directory.grown_at('llm'), 5)
+    assert demand.is_registration_complete(5)
     more = [*rows, replace(rows[0], upstream_id='u-50')]
     directory.apply(9, more, 6, float('-inf'))
     late = Demand()
-    late.find(51, directory.grown_at('llm'), 6)
-    assert not late.is_complete(6)
+    late.record_initial_count(51, directory.grown_at('llm'), 6)
+    assert not late.is_registration_complete(6)
 
 
 def test_a_new_home_goes_on_with_the_need():
@@ -169,16 +169,16 @@
     known = Demand()
     for step in range(80):
         known.learn(48, step / 4)
-    taken = take_over(known.peak, 20)
+    taken = restore_demand(known.peak, 20)
     taken.learn(10, 20.25)
     assert taken.expected(20.25) > 0.9 * known.peak
     assert taken.is_known(20.25)
-    unknown = take_over(0, 20)
+    unknown = restore_demand(0, 20)
     assert unknown.is_idle()
 
 
 def test_a_taken_over_need_fades_like_any_other():
-    known = take_over(48, 20)
+    known = restore_demand(48, 20)
     for step in range(400):
         known.learn(12, 20 + step / 4)
     assert known.peak < 15
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -74,8 +74,8 @@
         )
         load = EntryLoad(report.running, report.prefill)
         self.book.learn(report.key, load, now)
-        self.book.expect(report.key, unheard_after(period))
-        self.book.forget_silent(now)
+        self.book.set_report_timeout(report.key, unheard_after(period))
+        self.book.drop_silent_entries(now)
         self.levels.give(report.key, LIMITS, now)
         return period
 
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -23,7 +23,7 @@
     for number in range(seconds * RATE):
         now = number / RATE
         entry = entries[number % ENTRIES]
-        entry.earn('llm', now)
+        entry.record_request('llm', now)
         attempts = range(3 if now >= fails_from else 0)
         retries.extend(now for _ in attempts if entry.try_spend('llm', now))
     return retries
@@ -62,6 +62,6 @@
     """Nothing asks for the sum of a service whose sends all succeed."""
     budget = RetryBudget(LIMITS, ENTRIES)
     for second in range(1000):
-        budget.earn('llm', second / 2)
-    kept = budget._sent['llm'].first._slots
+        budget.record_request('llm', second / 2)
+    kept = budget._sent['llm'].requests._slots
     assert len(kept) <= LIMITS.window / SLOT_SECONDS + 1
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -19,7 +19,7 @@
 from gateway_world import SERVICE, ask, in_world
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.listed import ListedUpstream
-from spanfall_core.gateway.orders.orders import count_present
+from spanfall_core.gateway.orders.orders import count_serving
 from spanfall_standins.gateway.dialect import UPSTREAM_PREFIX
 from spanfall_standins.gateway.upstream import raw, refused, whole
 from support import wait_until
@@ -191,4 +191,4 @@
         directory.apply(revision, [LISTED], revision, float('-inf'))
         assert not directory.serving(SERVICE)
     assert directory.digest == digest
-    assert count_present(directory.rows.values()).total() == 0
+    assert count_serving(directory.rows.values()).total() == 0
--- a/tests/test_gateway_shortlist.py
+++ b/tests/test_gateway_shortlist.py
@@ -16,8 +16,8 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.prefixes import PromptPart
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
-from spanfall_core.gateway.routing.shortlist import FULL_SEARCH
+from spanfall_core.gateway.routing.estimates import RoutingRequest
+from spanfall_core.gateway.routing.shortlist import FULL_SEARCH_LIMIT
 
 #: Part of the expected time that the short search may lose.
 MOST_LOST = 0.02
@@ -26,7 +26,7 @@
 RATE = 5
 WARM_UP = 500
 #: Where the limit stands that decides between both ways.
-SEARCH_LIMIT = 'spanfall_core.gateway.routing.balance.FULL_SEARCH'
+SEARCH_LIMIT = 'spanfall_core.gateway.routing.balance.FULL_SEARCH_LIMIT'
 
 
 def listed(count):
@@ -66,7 +66,9 @@
                 loads.end(lifetime)
         parts = prompt(draw, number)
         tokens = sum(part.tokens for part in parts)
-        ask = Ask(str(number), f'z{draw.randrange(6)}', parts, tokens)
+        ask = RoutingRequest(
+            str(number), f'z{draw.randrange(6)}', parts, tokens
+        )
         prompts.learn(ask, now)
         choice = choose(rows, ask, loads, prompts, now)
         if number >= WARM_UP:
@@ -104,7 +106,7 @@
         prompts.prefixes.remember(holder.lifetime, (shared, own))
         loads.begin(holder.lifetime, 0)
     parts = (shared, own, PromptPart('request', 300))
-    ask = Ask('a', 'z1', parts, 20_800)
+    ask = RoutingRequest('a', 'z1', parts, 20_800)
     choice = choose(rows, ask, loads, prompts, 0)
     assert choice.upstream in rows[60:62]
     assert choice.prefill == 300
@@ -112,36 +114,36 @@
 
 def test_all_that_were_not_tried_are_found():
     """The short search may come to its end; the full one then answers."""
-    rows = listed(FULL_SEARCH * 3)
+    rows = listed(FULL_SEARCH_LIMIT * 3)
     loads, prompts = Loads(), PromptHistory()
     tried = set()
     while len(tried) < len(rows):
-        ask = Ask(str(len(tried)), 'z1', (), 500, frozenset(tried))
+        ask = RoutingRequest(str(len(tried)), 'z1', (), 500, frozenset(tried))
         choice = choose(rows, ask, loads, prompts, 0)
         assert choice.upstream.lifetime not in tried
         tried.add(choice.upstream.lifetime)
-    ask = Ask('last', 'z1', (), 500, frozenset(tried))
+    ask = RoutingRequest('last', 'z1', (), 500, frozenset(tried))
     assert choose(rows, ask, loads, prompts, 0) is None
 
 
 def test_an_upstream_that_is_new_is_found_at_once():
-    rows = listed(FULL_SEARCH * 2)
+    rows = listed(FULL_SEARCH_LIMIT * 2)
     loads, prompts = Loads(), PromptHistory()
     for row in rows:
         loads.begin(row.lifetime, 9000)
-    choose(rows, Ask('a', 'z1', (), 500), loads, prompts, 0)
-    more = listed(FULL_SEARCH * 2 + 1)
-    choice = choose(more, Ask('b', 'z1', (), 500), loads, prompts, 0)
-    assert choice.upstream.upstream_id == f'u-{FULL_SEARCH * 2}'
+    choose(rows, RoutingRequest('a', 'z1', (), 500), loads, prompts, 0)
+    more = listed(FULL_SEARCH_LIMIT * 2 + 1)
+    choice = choose(more, RoutingRequest('b', 'z1', (), 500), loads, prompts, 0)
+    assert choice.upstream.upstream_id == f'u-{FULL_SEARCH_LIMIT * 2}'
 
 
-@given(st.integers(1, 2 * FULL_SEARCH), st.data())
+@given(st.integers(1, 2 * FULL_SEARCH_LIMIT), st.data())
 def test_what_is_closed_to_a_request_gets_none(count, data):
     """Tried, avoided or withheld: whichever is left is found."""
     rows = listed(count)
     names = st.frozensets(st.sampled_from([row.lifetime for row in rows]))
     tried, avoided, withheld = (data.draw(names) for _ in range(3))
-    ask = Ask('a', 'z1', (), 500, tried, avoided=avoided)
+    ask = RoutingRequest('a', 'z1', (), 500, tried, avoided=avoided)
     choice = choose(rows, ask, Loads(), PromptHistory(), 0, withheld)
     left = {row.lifetime for row in rows} - tried - avoided - withheld
     if choice is None:
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -6,7 +6,7 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.sizes import PromptSizes
 
 SHORT = 800
@@ -32,24 +32,26 @@
     sizes = PromptSizes()
     for number, length in enumerate(lengths):
         sizes.learn(length, number * seconds)
-    places = [sizes.place(tokens) for tokens in (0, 500, 5000, 50_000, 10**6)]
-    assert places == sorted(places)
-    assert places[0] > 0
-    assert places[-1] < 1
+    positions = [
+        sizes.position(tokens) for tokens in (0, 500, 5000, 50_000, 10**6)
+    ]
+    assert positions == sorted(positions)
+    assert positions[0] > 0
+    assert positions[-1] < 1
 
 
 def test_each_length_gets_engines_by_its_work():
     sizes = seen_sizes()
-    assert 0.2 < sizes.place(SHORT) < 0.35
-    assert 0.65 < sizes.place(LONG) < 0.8
+    assert 0.2 < sizes.position(SHORT) < 0.35
+    assert 0.65 < sizes.position(LONG) < 0.8
 
 
 def test_lengths_are_forgotten():
     sizes = seen_sizes()
-    before = sizes.place(SHORT)
+    before = sizes.position(SHORT)
     for now in range(1, 100):
         sizes.learn(SHORT, now)
-    assert sizes.place(SHORT) > before
+    assert sizes.position(SHORT) > before
 
 
 def test_short_prompts_keep_away_from_long_ones():
@@ -59,7 +61,7 @@
         tokens: {
             choose(
                 UPSTREAMS,
-                Ask(f'a{number}', 'north', prompt_tokens=tokens),
+                RoutingRequest(f'a{number}', 'north', prompt_tokens=tokens),
                 Loads(),
                 prompts,
                 0,
--- a/tests/test_gateway_slow_signs.py
+++ b/tests/test_gateway_slow_signs.py
@@ -21,7 +21,7 @@
 PAUSE = 0.1
 ATTEMPTS = 10
 #: Seconds after which a caller leaves a stream that says nothing.
-PATIENCE = 1.5
+CALLER_TIMEOUT = 1.5
 
 
 def ended(world):
@@ -40,7 +40,7 @@
     answers = []
     for number in range(attempts):
         state = gateways[number % len(gateways)]
-        with anyio.move_on_after(PATIENCE):
+        with anyio.move_on_after(CALLER_TIMEOUT):
             answer = await ask(state, path, attempt=f'd{number}', body=DEADLY)
             answers.append(answer)
         await anyio.sleep(PAUSE)
