--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -127,7 +127,7 @@
     began = time.process_time()
     for number in range(1, REPEATS + 1):
         asked = decode_from_entry(received)
-        book.learn(asked.entry, asked.load, 0)
+        book.apply_report(asked.entry, asked.load, 0)
         choice = choose(rows, asked.request.ask, loads, prompts, 0)
         grant = Grant(number, choice.upstream.upstream_id, choice.prefill)
         book.grant(asked.entry, grant)
--- a/packages/spanfall-core/src/spanfall_core/gateway/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Decide for a gateway: routes, upstreams, limits, duties; no I/O, no clock."""
+"""Decide on routes, upstreams, limits and duties, without I/O or a clock."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which requests are held back because upstreams end under them."""
+"""Decide which requests to hold back because they crash upstreams."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
@@ -1,8 +1,9 @@
-"""Tell from the platform's list whether upstreams that are doubted have ended.
+"""Settle suspected crashes of upstreams by the platform's list of upstreams.
 
-An entry of the list outlives its upstream by some heartbeats. So one that is
-still there after these was written by an upstream that lives; one that went,
-or whose address another lifetime has, is the sign of an end.
+The platform keeps a row for a few heartbeats after its upstream ended. A row
+that is still listed after that time proves that its upstream is alive. A row
+that was removed, or whose address now belongs to another lifetime, proves
+that its upstream has ended.
 """
 
 from collections.abc import Mapping
@@ -12,23 +13,23 @@
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Heartbeats without which the platform removes an entry.
+#: Missed heartbeats after which the platform removes a row.
 MISSED_HEARTBEATS = 3
-#: Seconds besides until a node knows: a read of the store every 0.6 s, one
-#: that is late, and the home's next table.
+#: Additional seconds until every node has the new list: the store is read
+#: every 0.6 s, one read may be late, and the home then sends its next table.
 LISTING_DELAY_SECONDS = 2.0
-#: Seconds after which a doubt ends though no listing was to be had.
+#: Seconds after which a suspected crash is dismissed when no list arrives.
 MAX_SUSPECTED_SECONDS = 60.0
 
 
 def max_listing_delay(heartbeat: float) -> float:
-    """Return the seconds after which the entry of an upstream is gone."""
+    """Return the seconds until the row of an ended upstream is removed."""
     return MISSED_HEARTBEATS * heartbeat + LISTING_DELAY_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class SettledCrashes:
-    """Hold which of the upstreams that were doubted ended, and which live."""
+    """Hold which suspected upstreams have ended and which are alive."""
 
     ended: tuple[Lifetime, ...] = ()
     alive: tuple[Lifetime, ...] = ()
@@ -40,9 +41,10 @@
     heartbeat: float,
     now: float,
 ) -> SettledCrashes:
-    """Return what the list tells of upstreams that are doubted.
+    """Decide by the list which suspected upstreams have ended or are alive.
 
-    ``heartbeat`` are the seconds after which each writes its entry again.
+    ``heartbeat`` is the interval, in seconds, at which an upstream renews its
+    row.
     """
     ended = [
         lifetime
@@ -65,9 +67,10 @@
     suspected: SuspectedCrash,
     directory: Directory,
 ) -> bool:
-    """Tell whether an entry went, or another lifetime has its address.
+    """Return whether a row was removed or its address was taken over.
 
-    A list that is older than the doubt may not hold the entry yet.
+    A missing row proves nothing if the list is older than the suspicion: the
+    row may not have been written by then.
     """
     row = directory.rows.get(lifetime)
     if row is None:
@@ -82,7 +85,10 @@
     listing_delay: float,
     now: float,
 ) -> bool:
-    """Tell whether an entry outlived a doubt, or began to leave in it."""
+    """Return whether an upstream is alive, or was suspected for too long.
+
+    A row proves this if it began to leave or outlasted the listing delay.
+    """
     row = directory.rows.get(lifetime)
     is_listed = directory.proved_at - suspected.since >= listing_delay
     if row is not None and (row.is_leaving or is_listed and row.is_serving):
--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
@@ -1,12 +1,13 @@
-"""Tell which request ends the upstreams that run it from those beside it.
+"""Find the request that crashes upstreams among those that run beside it.
 
-All that an upstream runs breaks when its process ends, so one end says little
-of a request. One that was there at two ends is suspect: it is tried alone, one
-over the whole fleet at a time, so that a third end is its own doing.
+When the process of an upstream ends, all requests that it runs fail, so one
+crash says little about any of them. A request that was running at two crashes
+is a suspect: it is tried alone, one suspect per service at a time in the whole
+fleet, so that it is itself the cause of a third crash.
 
-Some ends show seconds later than the request comes again, so what may have
-been an end counts at once: it holds a request back and never refuses it for
-good. That takes ends that are certain.
+Some crashes are detected seconds after the caller has retried the request. A
+suspected crash therefore counts at once, but it only holds the request back.
+Only confirmed crashes put a request in quarantine.
 """
 
 from dataclasses import dataclass, field
@@ -16,43 +17,45 @@
 from spanfall_core.gateway.known.identity import RequestIdentity
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Ends of upstreams after which a request is tried alone. After one, all that
-#: ran on each upstream that is reclaimed would have to wait for each other.
+#: Crashes after which a request is tried alone. With 1, all requests of a
+#: reclaimed upstream would have to wait for each other.
 SUSPECT_THRESHOLD = 2
-#: Ends after which it is not served any more.
+#: Confirmed crashes after which a request is quarantined.
 QUARANTINE_THRESHOLD = 3
-#: Requests of which ends are remembered: 1.5 MB, measured. Those with one end
-#: go first, the oldest before others: they are free anyway.
+#: Maximum number of requests whose crashes are tracked; they take 1.5 MB.
+#: Requests with one crash are evicted first, the oldest first, as they may be
+#: sent without restriction anyway.
 MAX_TRACKED_REQUESTS = 4096
-#: Seconds for which a request is quarantined, so that it is served again some
-#: time after its upstreams were mended: it costs three of them a day at most.
+#: Seconds for which a request is quarantined. It is served again afterwards,
+#: as the upstreams may have been fixed; it crashes at most three of them a day.
 QUARANTINE_SECONDS = 86_400.0
-#: Quarantined requests that are kept; the oldest go first. Each has cost three
-#: upstreams.
+#: Maximum number of quarantined requests; the oldest are evicted first. Each
+#: has crashed three upstreams.
 MAX_QUARANTINED = 512
-#: Upstreams remembered whose end a quarantine explains: those that ran beside
-#: the request may be told of later.
+#: Maximum number of ended upstreams that are remembered, for those whose end a
+#: quarantine explains and for all confirmed ones: other requests that ran there
+#: may be reported later.
 MAX_EXPLAINED = 1024
-#: Seconds after which a trial whose end nobody told is taken to be over.
+#: Seconds after which a trial is over if its end was not reported.
 MAX_TRIAL_SECONDS = 1.5
-#: Seconds after the first part of an answer at which a trial is over: requests
-#: that end their upstreams do so before they have given any.
+#: Seconds from the first part of an answer to the end of a trial: a request
+#: that crashes its upstream does so before any part of the answer.
 TRIAL_SETTLE_SECONDS = 0.2
 
 
 @unique
 class Standing(StrEnum):
-    """Say how a request may be sent."""
+    """State whether and how a request may be sent."""
 
-    #: Nothing is known of it.
+    #: No restriction.
     FREE = 'free'
-    #: An upstream ended under it; whether its answer comes whole is told.
+    #: An upstream may have crashed under it; entries report how the run ends.
     WATCHED = 'watched'
-    #: It is sent alone, when no other such request is.
+    #: It is sent only as the one running trial of its service.
     SUSPECT = 'suspect'
-    #: It is not sent until it is known whether upstreams ended under it.
+    #: It is not sent until its suspected crashes are settled.
     HELD = 'held'
-    #: It is not sent any more.
+    #: It is refused until the quarantine expires.
     QUARANTINED = 'quarantined'
 
 
@@ -62,40 +65,40 @@
 
 @unique
 class ProbeResult(StrEnum):
-    """Say how surely an upstream ended as a send to it broke."""
+    """State what a probe says about an upstream after a send to it broke."""
 
-    #: Its address refuses: no process is there.
+    #: Its address refuses connections: no process listens there.
     ENDED = 'ended'
-    #: Its address is silent, or closes what it takes: no process answers.
+    #: Its address does not answer, or closes each connection it accepts.
     NO_ANSWER = 'no-answer'
-    #: Its address takes connections, which another process may do already; no
-    #: other connection from before is left.
+    #: Its address accepts connections, but possibly those of a new process: no
+    #: earlier connection is open any more.
     ACCEPTS_CONNECTIONS = 'takes-connections'
-    #: Another connection to it from before is still open.
+    #: An earlier connection to it is still open.
     ALIVE = 'lives'
 
 
 @dataclass(frozen=True, slots=True)
 class SuspectedCrash:
-    """Hold since when, and how much, an upstream is doubted to live."""
+    """Hold the time and the strength of the suspicion of a crash."""
 
     since: float
-    #: Whether no process answers there; else one does, perhaps another one.
+    #: True if no process answers; false if one does, which may be a new one.
     is_strong: bool
 
 
 @dataclass(slots=True)
 class CrashTable:
-    """Hold under which requests upstreams ended."""
+    """Record which upstreams crashed while they ran which request."""
 
-    #: Requests that are not sent until a time, the oldest first.
+    #: Time at which the quarantine of a request expires, the oldest first.
     quarantined: dict[RequestIdentity, float] = field(default_factory=dict)
-    #: Upstreams that ended under each other request, or may have; the request
-    #: with the oldest one first.
+    #: Upstreams that crashed, or are suspected to have, by request that is not
+    #: quarantined; the least recently updated request first.
     crashed_upstreams: dict[RequestIdentity, set[Lifetime]] = field(
         default_factory=dict
     )
-    #: Those of them whose end is not certain.
+    #: Those of them whose crash is not confirmed.
     suspected_crashes: dict[Lifetime, SuspectedCrash] = field(
         default_factory=dict
     )
@@ -103,7 +106,7 @@
     _explained: dict[Lifetime, None] = field(default_factory=dict)
 
     def standing(self, identity: RequestIdentity, now: float) -> Standing:
-        """Tell how a request may be sent."""
+        """Return whether and how a request may be sent."""
         until = self.quarantined.get(identity)
         if until is not None:
             if now < until:
@@ -115,7 +118,7 @@
         weak_count = sum(
             self._is_weakly_suspected(lifetime) for lifetime in crashed
         )
-        # One more where it is not even known that nobody answers there.
+        # All weakly suspected crashes together reduce the count by one at most.
         counted = max(len(crashed) - weak_count, len(crashed) - 1)
         if counted < SUSPECT_THRESHOLD:
             return Standing.WATCHED if counted else Standing.FREE
@@ -132,9 +135,9 @@
         lifetime: Lifetime,
         now: float,
     ) -> bool:
-        """Note that an upstream ended under a request.
+        """Record that an upstream crashed while it ran a request.
 
-        Return whether it is quarantined by that.
+        Return whether this puts the request in quarantine.
         """
         if identity in self.quarantined:
             self._mark_explained({lifetime})
@@ -151,9 +154,10 @@
         *,
         is_strong: bool,
     ) -> bool:
-        """Note that an upstream may have ended under a request.
+        """Record that an upstream may have crashed while it ran a request.
 
-        Return whether it is quarantined by that, as the end is certain here.
+        Return whether this puts the request in quarantine, which happens only
+        if the end of the upstream is already confirmed here.
         """
         if lifetime in self._confirmed:
             return self.record_crash(identity, lifetime, now)
@@ -173,9 +177,9 @@
         lifetime: Lifetime,
         now: float,
     ) -> list[RequestIdentity]:
-        """Note that an upstream has certainly ended.
+        """Record that an upstream has certainly ended.
 
-        Return the requests that are quarantined by that.
+        Return the requests that this puts in quarantine.
         """
         self.suspected_crashes.pop(lifetime, None)
         self._confirmed[lifetime] = None
@@ -190,9 +194,10 @@
     def _quarantine_if_proven(
         self, identity: RequestIdentity, now: float
     ) -> bool:
-        """Quarantine a request if its ends are certain and its own doing.
+        """Quarantine a request if confirmed crashes prove it to be the cause.
 
-        Where another one ran at all of them too, the next trial tells.
+        If another request was running at all of them too, the next trial has to
+        decide.
         """
         crashed = (
             self.crashed_upstreams.get(identity, set())
@@ -211,19 +216,19 @@
         return True
 
     def record_alive(self, lifetime: Lifetime) -> None:
-        """Note that an upstream that was doubted lives."""
+        """Record that a suspected upstream is alive."""
         self.suspected_crashes.pop(lifetime, None)
         self._discard_crashes({lifetime})
 
     def quarantine(self, identity: RequestIdentity, until: float) -> None:
-        """Send a request no more; clear those that only ran beside it."""
+        """Quarantine a request; discard its crashes from requests beside it."""
         explained = self.crashed_upstreams.pop(identity, set())
         self.quarantined[identity] = until
         _evict_oldest(self.quarantined, MAX_QUARANTINED)
         self._mark_explained(explained)
 
     def clear(self, identity: RequestIdentity) -> None:
-        """Forget a request whose answer came whole: it ends no upstream."""
+        """Forget a request that got a complete answer: it crashes nothing."""
         self.crashed_upstreams.pop(identity, None)
 
     def _is_weakly_suspected(self, lifetime: Lifetime) -> bool:
@@ -236,7 +241,7 @@
         self._evict_one()
 
     def _mark_explained(self, ended: set[Lifetime]) -> None:
-        """Count these ends for no other request any more."""
+        """Stop counting these crashes for any other request."""
         for lifetime in ended:
             self.suspected_crashes.pop(lifetime, None)
             self._explained[lifetime] = None
@@ -272,7 +277,7 @@
 
 @dataclass(slots=True)
 class Trial:
-    """Hold the trial that is under way for a service."""
+    """Hold the running trial of a service."""
 
     identity: RequestIdentity
     until: float
@@ -280,7 +285,7 @@
 
 @dataclass(slots=True)
 class Trials:
-    """Hold the suspects that run, one for each service."""
+    """Hold the running trials, at most one per service."""
 
     _running: dict[str, Trial] = field(default_factory=dict)
 
@@ -290,7 +295,7 @@
         identity: RequestIdentity,
         now: float,
     ) -> bool:
-        """Begin the trial of a suspect unless another one is under way."""
+        """Begin the trial of a suspect unless another trial is running."""
         running = self._running.get(service)
         if running is not None and now < running.until:
             return False
@@ -298,7 +303,7 @@
         return True
 
     def end(self, identity: RequestIdentity, until: float) -> None:
-        """Let the trial of a request be over at a time, if it is under way."""
+        """End the running trial of a request, if any, by ``until``."""
         for trial in self._running.values():
             if trial.identity == identity:
                 trial.until = min(trial.until, until)
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how many upstreams are ordered, and where."""
+"""Decide how many upstreams to order in each data centre."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
@@ -1,9 +1,9 @@
 """Decide how many upstreams of a service each data centre should run.
 
-Reclaimable upstreams come first, spread evenly, so that the loss of a data
-centre leaves enough. Others bridge only what reclaimable ones cannot give at
-the moment. Counts rise at once and fall only after they were lower for a
-while, so that no order takes back the one before.
+Reclaimable upstreams are preferred and spread evenly, so that enough remain
+when a data centre is lost. On-demand upstreams cover only what reclaimable
+ones cannot provide at the moment. Counts rise at once but fall only after the
+need was lower for some time, so that orders do not oscillate.
 """
 
 from dataclasses import dataclass
@@ -21,20 +21,21 @@
     record_fulfilled,
 )
 
-#: Part of the need that has to be there even if one more data centre loses
-#: its reclaimable upstreams while none are to be had: those who boot need
-#: longer than a notice lasts.
+#: Fraction of the need that must remain if one more data centre loses its
+#: reclaimable upstreams while no new ones are available. It is provisioned
+#: ahead because a boot takes longer than the notice of a reclaim.
 LOSS_COVERAGE = 0.8
-#: One in so many data centres may be lost at a time without too little left;
-#: half of them instead cost 0.03 of the worth on a calm day of Muestras.
+#: One in this many data centres may be lost at a time and the rest still
+#: suffices. Covering the loss of half of them costs 0.03 of the worth on a calm
+#: day of Muestras.
 DATA_CENTRES_PER_LOSS = 3
-#: Boot times for which fewer upstreams must do before some are sent away.
+#: Boot times for which a lower count must suffice before upstreams are stopped.
 SCALE_DOWN_BOOTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class OnDemandBounds:
-    """State how many others must come, and how many may stay."""
+    """Bound the on-demand upstreams: how many must run and how many may."""
 
     least: int
     most: int
@@ -47,7 +48,7 @@
     serving: ServingCounts,
     now: float,
 ) -> list[Order]:
-    """Return the orders to send now, most urgent first."""
+    """Return the orders to send now, the most urgent ones first."""
     data_centres = sorted(
         scaling.prices, key=lambda data_centre: scaling.prices[data_centre]
     )
@@ -93,9 +94,10 @@
     scaling: Scaling,
     now: float,
 ) -> int:
-    """Return the reclaimable ones for each place, as many everywhere.
+    """Return the number of reclaimable upstreams for each data centre.
 
-    So that none is worth more than another, and the rest serves after a loss.
+    It is the same everywhere, so that no data centre matters more than another
+    and the rest carries the load after a loss.
     """
     if not scaling.reclaimable_price:
         return 0
@@ -105,10 +107,11 @@
         * data_centres
         / max(1, data_centres - data_centres // DATA_CENTRES_PER_LOSS)
     )
-    # The room for a place that may be lost serves for what limits cost now.
+    # The reserve for the loss of a data centre also covers the capacity that
+    # limits cost at the moment.
     covered = max(with_loss, peak + orders.capacity_lost)
     hold_seconds = scaling.boot_seconds * SCALE_DOWN_BOOTS
-    held = orders.reclaimable_targets.learn(
+    held = orders.reclaimable_targets.update(
         ceil(covered / max(1, data_centres)), hold_seconds, now
     )
     per_data_centre = max(
@@ -116,8 +119,8 @@
     )
     count = max(scaling.least, min(scaling.most, per_data_centre))
     if orders.is_scarce(now):
-        # What is sent away in a dry spell cannot be had again; others that
-        # bridge it cost several times as much.
+        # Reclaimable upstreams stopped during a shortage cannot be ordered
+        # again, and on-demand ones cost several times as much.
         count = max(count, orders.last_target)
     orders.last_target = count
     return count
@@ -130,10 +133,10 @@
     scaling: Scaling,
     now: float,
 ) -> OnDemandBounds:
-    """Return how many others the fleet needs beside reclaimable ones."""
+    """Return the bounds for on-demand upstreams in the whole fleet."""
     hold_seconds = scaling.boot_seconds * SCALE_DOWN_BOOTS
     need = ceil(orders.demand.peak + orders.capacity_lost)
-    peak_need = orders.needed_counts.learn(need, hold_seconds, now)
+    peak_need = orders.needed_counts.update(need, hold_seconds, now)
     needed = max(peak_need, ceil(orders.demand.expected(now)))
     present = serving.reclaimable.total()
     most = max(0, needed - present)
@@ -145,7 +148,7 @@
         )
         least = max(least, shortfall)
     if orders.demand.is_idle():
-        # Nobody waits yet for what boots.
+        # There is no load yet that waits for booting upstreams.
         most = least
     return OnDemandBounds(least, max(least, most))
 
@@ -158,9 +161,9 @@
     serving: ServingCounts,
     now: float,
 ) -> int:
-    """Return the reclaimable ones that boot there or are ordered now.
+    """Return the reclaimable upstreams that boot there or are ordered now.
 
-    Others would not serve sooner, so none are ordered in their place.
+    On-demand upstreams would not serve sooner, so none replace them.
     """
     key = (data_centre, True)
     if orders.is_refused(data_centre, now):
@@ -170,7 +173,8 @@
     if waited > timeout and key not in orders.fulfilled:
         return 0
     if orders.is_scarce(now):
-        # Elsewhere none are to be had: only what was accepted comes.
+        # Reclaimable upstreams are scarce: only those of accepted orders are
+        # expected.
         target = min(target, orders.in_force.get(key, 0))
     return max(0, target - serving.reclaimable[data_centre])
 
@@ -183,10 +187,11 @@
     bounds: OnDemandBounds,
     now: float,
 ) -> dict[str, int]:
-    """Return the others that must stay or come, by data centre.
+    """Return the number of on-demand upstreams for each data centre.
 
-    Those that are there or ordered stay where they are; more come where they
-    cost least, fewer go where they cost most, and none before it has booted.
+    Existing and ordered upstreams keep their place. More are added where they
+    are cheapest; surplus ones are removed where they are most expensive, and
+    only where a boot time has passed since the last increase.
     """
     on_demand_plan = {
         data_centre: orders.in_force.get(
@@ -216,7 +221,7 @@
 
 def _data_centre_orders(
     target: Order,
-    on_demand_plan: int,
+    planned: int,
     scaling: Scaling,
     orders: ServiceOrders,
     serving: ServingCounts,
@@ -233,13 +238,14 @@
         reclaimable=True,
         count=max(0, min(target.count, room)),
     )
-    # Others that serve stay until reclaimable ones do; none is ordered where
-    # a place lost its reclaimable ones and the rest of the fleet is enough.
+    # On-demand upstreams that serve stay until reclaimable ones do. None is
+    # ordered for a data centre that lost its reclaimable ones if the rest of
+    # the fleet suffices.
     least = scaling.least - serving.reclaimable[data_centre]
-    keep = max(on_demand_plan, min(serving.on_demand[data_centre], least))
+    keep = max(planned, min(serving.on_demand[data_centre], least))
     if ordered >= scaling.most and not orders.is_scarce(now):
-        # A full place takes no reclaimable upstream until one has left; while
-        # none are to be had, nothing makes room for them.
+        # A full data centre accepts no reclaimable upstream until another one
+        # has left. While they are scarce, no room is made for them.
         keep = min(keep, ordered - 1)
     on_demand = Order(
         target.service,
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/demand.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/demand.py
@@ -1,7 +1,7 @@
-"""Tell how many engines the load of a service needs.
+"""Estimate how many engines the load of a service needs.
 
-The load is what callers offer, not what waits: a jam looks like need, and
-fewer streams behind a jam look like none.
+The load is what callers offer, not the queue: a backlog looks like lasting
+need, and fewer running streams behind a backlog look like no need.
 """
 
 from collections.abc import Iterable
@@ -10,31 +10,31 @@
 from spanfall_core.gateway.known.configuration import EngineLimits
 from spanfall_core.gateway.known.engine_model import ReadingSpeed
 
-#: Part of an engine's slots that run with tokens in time.
+#: Fraction of an engine's slots that may be busy with tokens still on time.
 TARGET_BATCH_UTILIZATION = 0.7
-#: Part of an engine's time that may go into reading prompts.
+#: Fraction of an engine's time that may be spent on prefill.
 TARGET_PREFILL_UTILIZATION = 0.65
-#: Seconds over which the load is averaged: a fraction of a boot time.
+#: Time constant of the load average, in seconds: a fraction of a boot time.
 LOAD_AVERAGE_SECONDS = 2.0
-#: Seconds in which a past peak of the need halves.
-PEAK_HALF_LIFE = 25.0
-#: Seconds of load after which its peak stands for the need of a service: as
-#: long as an upstream takes to boot.
+#: Half-life of a past peak of the need, in seconds.
+PEAK_HALF_LIFE_SECONDS = 25.0
+#: Seconds of observed load after which its peak is taken as the need of a
+#: service: the time in which an upstream boots.
 MIN_OBSERVATION_SECONDS = 4.0
-#: Seconds without another upstream after which all are taken to be there:
-#: they register within a heartbeat and a way of the store of each other.
+#: Seconds without a new upstream after which all are taken to be registered:
+#: they register within one heartbeat and one store delay of each other.
 REGISTRATION_SETTLE_SECONDS = 1.5
-#: Need from which on a service counts as loaded.
+#: Need, in upstreams, from which a service counts as loaded.
 MIN_LOAD = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class OfferedLoad:
-    """State the load of one service."""
+    """State the load that callers offer to one service."""
 
-    #: Requests that run or wait.
+    #: Running and waiting requests.
     running: float = 0
-    #: Work of reading that was sent a second, in tokens.
+    #: Prefill work that arrives, in tokens per second.
     prefill_rate: float = 0
 
 
@@ -44,10 +44,10 @@
     speed: ReadingSpeed,
     present: int,
 ) -> float:
-    """Return the engines that a load keeps busy with answers in time.
+    """Return the number of engines that serve a load with answers on time.
 
-    What waits beyond the slots of the engines that are there tells of a jam,
-    not of a lasting need.
+    Requests beyond the slots of the ``present`` engines are a backlog, not a
+    lasting need, and are not counted.
     """
     served = min(load.running, present * engine.slots)
     decoding = served / (engine.slots * TARGET_BATCH_UTILIZATION)
@@ -61,11 +61,11 @@
     needed: float,
     request_rate: float,
 ) -> float:
-    """Return the upstreams that the limits of some of them cost.
+    """Return the capacity, in upstreams, that rate limits of upstreams cost.
 
-    One that names a limit does the work of as much of an upstream as it takes
-    of what the load gives to each. ``requests_rate`` are the requests a second
-    that ``needed`` upstreams are to serve.
+    An upstream with a limit counts as the fraction of its share of the load
+    that the limit admits. ``request_rate`` is the number of requests per second
+    that ``needed`` upstreams have to serve.
     """
     if not (needed and request_rate):
         return 0
@@ -75,25 +75,25 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Hold the need for upstreams of one service, as a fading peak."""
+    """Track the need for upstreams of one service as a decaying peak."""
 
     peak: float = 0
     updated_at: float = 0
-    #: Upstreams that were there before anything was ordered.
+    #: Number of upstreams that ran before the first order.
     initial_count: int = 0
-    #: When their number last grew.
+    #: Time at which that number last grew.
     initial_count_at: float = 0
-    #: When load was first seen.
+    #: Time at which load was first observed.
     loaded_since: float | None = None
     _average: float = 0
 
-    def learn(self, needed: float, now: float) -> None:
-        """Take a new measurement of the need."""
-        passed = max(0, now - self.updated_at)
-        part = min(1, passed / LOAD_AVERAGE_SECONDS)
-        self._average += part * (needed - self._average)
-        faded = self.peak * 0.5 ** (passed / PEAK_HALF_LIFE)
-        self.peak = max(self._average, faded)
+    def record_need(self, needed: float, now: float) -> None:
+        """Add a measurement of the need to the average and the peak."""
+        elapsed = max(0, now - self.updated_at)
+        weight = min(1, elapsed / LOAD_AVERAGE_SECONDS)
+        self._average += weight * (needed - self._average)
+        decayed = self.peak * 0.5 ** (elapsed / PEAK_HALF_LIFE_SECONDS)
+        self.peak = max(self._average, decayed)
         self.updated_at = now
         if self.loaded_since is None and needed >= MIN_LOAD:
             self.loaded_since = now
@@ -101,12 +101,12 @@
     def record_initial_count(
         self, present: int, grown_at: float, now: float
     ) -> None:
-        """Note how many upstreams are there before anything is ordered.
+        """Record how many upstreams run before the first order.
 
-        No load seen is not no load: until it was seen for a while, what the
-        operator runs is the best guess of the need. ``grown_at`` is when the
-        last of them was listed, which may be long before the operator's
-        first configuration.
+        No observed load does not mean no load: until it was observed for some
+        time, the number that the operator runs is the best estimate of the
+        need. ``grown_at`` is the time at which the last of them was listed,
+        which may be long before the operator's first configuration.
         """
         if present > self.initial_count and not self.is_registration_complete(
             now
@@ -115,34 +115,34 @@
             self.initial_count_at = min(grown_at, now)
 
     def is_registration_complete(self, now: float) -> bool:
-        """Tell whether all that the operator runs have registered."""
+        """Return whether all upstreams of the operator have registered."""
         return (
             self.initial_count > 0
             and now - self.initial_count_at >= REGISTRATION_SETTLE_SECONDS
         )
 
     def is_idle(self) -> bool:
-        """Tell whether no load was ever seen."""
+        """Return whether no load was ever observed."""
         return self.loaded_since is None
 
-    def is_known(self, now: float) -> bool:
-        """Tell whether the load was seen for long enough."""
+    def is_measured(self, now: float) -> bool:
+        """Return whether load was observed for long enough."""
         if self.loaded_since is None:
             return False
         return now - self.loaded_since >= MIN_OBSERVATION_SECONDS
 
     def expected(self, now: float) -> float:
-        """Return the upstreams that are to serve."""
-        if self.is_known(now):
+        """Return the number of upstreams that should serve."""
+        if self.is_measured(now):
             return self.peak
         return max(self.peak, self.initial_count)
 
 
 def restore_demand(peak: float, now: float) -> Demand:
-    """Return the demand as the home before told it, if it told any.
+    """Return the demand that the previous home reported, if any.
 
-    Else a new home learns the need anew over some seconds, in which it orders
-    half of what reclaimed upstreams leave to be replaced.
+    Without it, a new home measures the need from zero for some seconds, in
+    which it replaces only half of the upstreams lost to a reclaim.
     """
     if peak < MIN_LOAD:
         return Demand()
@@ -153,16 +153,16 @@
 
 @dataclass(slots=True)
 class SlidingMaximum:
-    """Hold the largest of the counts of the last seconds.
+    """Track the largest of the counts in a sliding window.
 
-    A count that falls for a moment would send upstreams away that are wanted
-    again before others have booted.
+    Without it, a short dip of the count would stop upstreams that are needed
+    again before replacements have booted.
     """
 
     counts: dict[float, int] = field(default_factory=dict)
 
-    def learn(self, count: int, seconds: float, now: float) -> int:
-        """Take a count; return the largest of the last ``seconds``."""
+    def update(self, count: int, seconds: float, now: float) -> int:
+        """Add a count; return the largest one of the last ``seconds``."""
         self.counts = {
             at: known
             for at, known in self.counts.items()
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/orders.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/orders.py
@@ -1,4 +1,4 @@
-"""Hold the orders of upstreams that are in force, and what came of them."""
+"""Track the orders for upstreams that are in force, and their results."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,10 +8,10 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.demand import Demand, SlidingMaximum
 
-#: Seconds after a refusal before a data centre is asked again.
+#: Seconds after a refusal until a data centre is asked again.
 REFUSAL_BACKOFF_SECONDS = 3.0
-#: Seconds beyond the boot time after which an order without effect is
-#: sent again.
+#: Seconds beyond the boot time after which an unfulfilled order is sent
+#: again.
 RESEND_DELAY_SECONDS = 3.0
 
 OrderKey = tuple[str, bool]
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Ask for a number of upstreams of one kind in one data centre."""
+    """Order a number of upstreams of one kind in one data centre."""
 
     service: str
     data_centre: str
@@ -28,35 +28,39 @@
 
     @property
     def key(self) -> OrderKey:
-        """Name what the order counts, within its service."""
+        """Return the data centre and the kind, which identify an order."""
         return self.data_centre, self.reclaimable
 
 
 @dataclass(slots=True)
 class ServiceOrders:
-    """Hold the orders in force for one service and their refusals."""
+    """Hold the orders in force for one service and their refusals.
+
+    Data centres refuse only orders for reclaimable upstreams.
+    """
 
     demand: Demand = field(default_factory=Demand)
     in_force: dict[OrderKey, int] = field(default_factory=dict)
     ordered_at: dict[OrderKey, float] = field(default_factory=dict)
     refused_until: dict[str, float] = field(default_factory=dict)
-    #: What was ordered and has come since.
+    #: Orders whose upstreams have all been present since.
     fulfilled: set[OrderKey] = field(default_factory=set)
-    #: Reclaimable ones wanted for each place, and upstreams needed in all.
+    #: Reclaimable upstreams to run in each data centre, and all upstreams that
+    #: the load needs.
     reclaimable_targets: SlidingMaximum = field(default_factory=SlidingMaximum)
     needed_counts: SlidingMaximum = field(default_factory=SlidingMaximum)
     last_target: int = 0
-    #: Upstreams that the limits of some cost now; not kept for long, as those
-    #: limits are not.
+    #: Capacity, in upstreams, that rate limits of upstreams cost now. It is not
+    #: held for long, as these limits are short-lived.
     capacity_lost: float = 0
-    #: When more of a kind were ordered last.
+    #: Time at which an order was last increased.
     increased_at: dict[OrderKey, float] = field(default_factory=dict)
 
     def is_scarce(self, now: float) -> bool:
-        """Tell whether any data centre refused reclaimable ones lately.
+        """Return whether any data centre recently refused an order.
 
-        It counts until the next answer is there, so that the moment of asking
-        again sends nothing away.
+        A refusal counts until the answer to the next order, so that no upstream
+        is stopped while that order is under way.
         """
         return any(
             self.is_refused(data_centre, now)
@@ -64,24 +68,24 @@
         )
 
     def is_refused(self, data_centre: str, now: float) -> bool:
-        """Tell whether a data centre refused reclaimable ones lately."""
+        """Return whether a data centre recently refused an order."""
         until = self.refused_until.get(data_centre)
         return until is not None and now < until + REFUSAL_BACKOFF_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class ServingCounts:
-    """Count the upstreams that serve now, by data centre."""
+    """Hold the number of serving upstreams of each kind, by data centre."""
 
     reclaimable: Counter[str]
     on_demand: Counter[str]
 
     def total(self) -> int:
-        """Return all upstreams that serve."""
+        """Return the number of all serving upstreams."""
         return self.reclaimable.total() + self.on_demand.total()
 
     def count(self, key: OrderKey) -> int:
-        """Return the upstreams of one kind in one data centre."""
+        """Return the number of upstreams of one kind in one data centre."""
         data_centre, reclaimable = key
         return (self.reclaimable if reclaimable else self.on_demand)[
             data_centre
@@ -89,7 +93,7 @@
 
 
 def count_serving(rows: Iterable[ListedUpstream]) -> ServingCounts:
-    """Count the upstreams that may get new work."""
+    """Count the upstreams that accept new work."""
     serving = [row for row in rows if row.is_serving]
     return ServingCounts(
         Counter(row.data_centre for row in serving if row.reclaimable),
@@ -98,7 +102,7 @@
 
 
 def record_accepted(order: Order, orders: ServiceOrders, now: float) -> None:
-    """Note that an order is in force."""
+    """Record that an order was accepted and is in force."""
     if order.count > orders.in_force.get(order.key, order.count):
         orders.increased_at[order.key] = now
     orders.in_force[order.key] = order.count
@@ -107,12 +111,12 @@
 
 
 def record_refused(order: Order, orders: ServiceOrders, now: float) -> None:
-    """Note that a data centre has none to give at the moment."""
+    """Record that a data centre has no reclaimable upstreams available."""
     orders.refused_until[order.data_centre] = now + REFUSAL_BACKOFF_SECONDS
 
 
 def record_fulfilled(orders: ServiceOrders, serving: ServingCounts) -> None:
-    """Note which orders were carried out in full."""
+    """Record which orders in force have been fulfilled."""
     orders.fulfilled.update(
         key
         for key, count in orders.in_force.items()
@@ -121,7 +125,7 @@
 
 
 def is_due(order: Order, orders: ServiceOrders, now: float) -> bool:
-    """Tell whether it makes sense to send an order now."""
+    """Return whether an order may have an effect if sent now."""
     if not order.reclaimable:
         return True
     if not order.count and order.key not in orders.in_force:
@@ -136,10 +140,10 @@
     scaling: Scaling,
     now: float,
 ) -> bool:
-    """Tell whether an order cannot stop upstreams that are about to boot.
+    """Return whether an order cannot stop upstreams that are still booting.
 
-    A new home does not know what the home before has ordered, so it sends
-    only more than what is there until that has booted.
+    A new home has no record of the orders of the previous home. Until those
+    upstreams have booted, it only sends orders for more than are present.
     """
     if order.key in orders.in_force or orders.demand.is_idle():
         return True
@@ -155,7 +159,7 @@
     scaling: Scaling,
     now: float,
 ) -> bool:
-    """Tell whether ordered upstreams did not come, or went since."""
+    """Return whether ordered upstreams did not appear or have left since."""
     if serving.count(order.key) >= order.count:
         return False
     if order.key in orders.fulfilled:
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where a request goes, and what follows a failed send."""
+"""Choose the upstream of a request and the step after a failed send."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/balance.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/balance.py
@@ -1,6 +1,7 @@
 """Choose the upstream with the least expected time to the first token.
 
-Among many upstreams only those are estimated that can win (``shortlist.py``).
+In a large service only a shortlist of upstreams is estimated
+(``shortlist.py``).
 """
 
 from collections.abc import Iterable, Sequence
@@ -27,52 +28,52 @@
 from spanfall_core.gateway.routing.shortlist import FULL_SEARCH_LIMIT, Shortlist
 from spanfall_core.gateway.routing.sizes import PromptSizes
 
-#: Seconds within which upstreams count as equal and the hash decides.
+#: Seconds of difference within which the hash decides between upstreams.
 HASH_TIE_SECONDS = 0.01
-#: Number of different hashes.
+#: Number of possible hash values.
 HASH_RANGE = 2**64
-#: Part of a prompt's shared tokens that the upstream which the hash prefers
-#: is expected to have read for another entry.
+#: Fraction of a prompt's shared tokens that the upstream preferred by the hash
+#: is expected to have cached for other entries.
 EXPECTED_CACHED_FRACTION = 0.7
-#: Seconds that an engine counts for which is the whole row of engines away
-#: from where prompts of this length belong: what a stream loses that meets a
-#: long prompt, times how likely that is.
+#: Penalty in seconds for an engine at the opposite end of the row from the
+#: position of prompts of this length: the delay of a stream that meets a long
+#: prompt, times the probability of that.
 LENGTH_MISMATCH_SECONDS = 0.35
-#: Seconds of reading of the long prompt that stands for all of them where
+#: Seconds of prefill of the long prompt that represents all long prompts when
 #: upstreams are compared.
 LONG_PREFILL_SECONDS = 0.5
-#: Seconds that an upstream which may get nothing counts for among many.
+#: Penalty in seconds for a withheld upstream on the shortlist.
 WITHHELD_PENALTY_SECONDS = 1e6
-#: No upstream, where all may get the request.
+#: Empty set for the case that no upstream is withheld.
 NONE_WITHHELD: AbstractSet[Lifetime] = frozenset()
 
 
 @dataclass(slots=True)
 class PromptHistory:
-    """Hold which prompts were read where, and how long they were."""
+    """Hold which upstream has read which prompts, and the prompts' lengths."""
 
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     sizes: PromptSizes = field(default_factory=PromptSizes)
-    #: How fast the engines of each service read, as the home learned.
+    #: Prefill speed of the engines of each service, as measured by the home.
     speeds: dict[str, ReadingSpeed] = field(default_factory=dict)
     _shortlists: dict[str, Shortlist[ListedUpstream]] = field(
         default_factory=dict,
     )
 
-    def learn(self, request: RoutingRequest, now: float) -> None:
-        """Count the length of a prompt that is to be read."""
+    def record_prompt(self, request: RoutingRequest, now: float) -> None:
+        """Count the length of a prompt that is about to be read."""
         if request.prompt_tokens:
-            self.sizes.learn(request.prompt_tokens, now)
+            self.sizes.record_prompt(request.prompt_tokens, now)
 
     def speed(self, service: str) -> ReadingSpeed:
-        """Return how fast engines of a service read, as far as is known."""
+        """Return the prefill speed of a service, or a default if unmeasured."""
         return self.speeds.get(service, ReadingSpeed())
 
     def shortlist(
         self,
         rows: Sequence[ListedUpstream],
     ) -> Shortlist[ListedUpstream]:
-        """Return what is known of the load of these upstreams."""
+        """Return the shortlist of these upstreams, new if they have changed."""
         service = rows[0].service
         known = self._shortlists.get(service)
         if known is None or known.rows is not rows:
@@ -85,37 +86,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Name the chosen upstream and what the choice rests on."""
+    """Hold the chosen upstream and the estimates behind the choice."""
 
     upstream: ListedUpstream
     seconds: float
-    #: Prompt tokens to be read for the request, and those that wait there.
+    #: Prompt tokens to be read for the request, and those queued before it.
     prefill: int
     ahead: int = 0
-    #: Whether an upstream has ended under the request before.
+    #: Whether an upstream has crashed under the request before.
     is_watched: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Search:
-    """Hold what a choice rests on."""
+    """Hold the inputs of a choice."""
 
     candidates: Sequence[ListedUpstream]
     request: RoutingRequest
     loads: UpstreamLoads
     prompts: PromptHistory
     now: float
-    #: Seed of the hashes by which all entries prefer the same upstream.
+    #: Hash seed that makes all entries prefer the same upstream.
     seed: int
-    #: Where in the row a prompt of this length belongs, from 0 to 1.
+    #: Position in the row for prompts of this length, from 0 to 1.
     position: float
-    #: Tokens of prompts that an upstream reads in a second.
+    #: Prefill speed in tokens per second.
     rate: float
-    #: Upstreams that may get nothing now.
+    #: Upstreams that may not be sent anything now.
     withheld: AbstractSet[Lifetime] = NONE_WITHHELD
 
     def best(self, indices: Iterable[int], preferred: int) -> Choice | None:
-        """Return the best of some candidates that were not tried yet."""
+        """Return the best eligible one of some candidates, if any."""
         best: tuple[float, int, int] | None = None
         for index in indices:
             row = self.candidates[index]
@@ -134,14 +135,14 @@
         return Choice(chosen, best[0], best[2], ahead)
 
     def is_eligible(self, lifetime: Lifetime) -> bool:
-        """Tell whether the request may go to an upstream."""
+        """Return whether the request may be sent to an upstream."""
         request = self.request
         if lifetime in request.tried or lifetime in request.avoided:
             return False
         return lifetime not in self.withheld
 
     def hash_fraction(self, index: int) -> float:
-        """Return a part from 0 to 1 for a candidate."""
+        """Return the hash of a candidate, scaled to a fraction from 0 to 1."""
         lifetime = self.candidates[index].lifetime
         return xxh3_64_intdigest(lifetime.encode(), self.seed) / HASH_RANGE
 
@@ -177,8 +178,8 @@
 ) -> Choice | None:
     """Return the best upstream that was not tried yet, if any.
 
-    ``candidates`` come in an order that all nodes share: the row in which
-    prompts are placed by their length. Those ``withheld`` may get nothing.
+    ``candidates`` are in an order that all nodes share: the row in which
+    prompts are positioned by length. Those ``withheld`` are not chosen.
     """
     if _is_all_withheld(candidates, withheld):
         return None
@@ -206,21 +207,21 @@
     candidates: Sequence[ListedUpstream],
     withheld: AbstractSet[Lifetime],
 ) -> bool:
-    """Tell whether none may get anything, without an estimate of each."""
+    """Return whether all candidates are withheld, without estimating them."""
     if len(withheld) < len(candidates):
         return False
     return all(row.lifetime in withheld for row in candidates)
 
 
 def choose_from_all(search: Search) -> Choice | None:
-    """Ask each candidate."""
+    """Estimate every candidate."""
     indices = range(len(search.candidates))
     preferred = max(indices, key=search.hash_fraction, default=-1)
     return search.best(indices, preferred)
 
 
 def _choose_from_shortlist(search: Search) -> Choice | None:
-    """Estimate only the candidates that can win."""
+    """Estimate only the candidates on the shortlist."""
     request = search.request
     shortlist = search.prompts.shortlist(search.candidates)
     if shortlist.is_stale(search.now):
@@ -245,7 +246,7 @@
     shortlist: Shortlist[ListedUpstream],
     search: Search,
 ) -> None:
-    """Find what a short and a long prompt would lose at each."""
+    """Recompute the cost of a short and a long prompt at each upstream."""
     loads, now, rate = search.loads, search.now, search.rate
     long_stall = LONG_PREFILL_SECONDS - TOLERATED_STALL_SECONDS
 
@@ -283,15 +284,15 @@
 
 
 def _expected_cached(request: RoutingRequest) -> int:
-    """Return the tokens that other requests are likely to share."""
+    """Return the tokens likely cached there for other requests."""
     shared = sum(part.tokens for part in request.parts[:-1])
     return int(shared * EXPECTED_CACHED_FRACTION)
 
 
 def _seed(request: RoutingRequest) -> int:
-    """Return a number that is the same for the same shared prompt."""
+    """Return a hash seed that is equal for requests with a shared prompt."""
     key = request.attempt_id
     if len(request.parts) > 1:
-        # The last part is the request's own, the one before is shared.
+        # The last part belongs to this request, the one before is shared.
         key = request.parts[-2].part_id
     return xxh3_64_intdigest(key.encode())
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/estimates.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/estimates.py
@@ -1,6 +1,6 @@
-"""Estimate what a request costs at an upstream.
+"""Estimate the cost of a request at an upstream.
 
-The estimate is a sum of plain terms in seconds; each has a named weight.
+The estimate is a sum of terms in seconds, each with a named weight.
 """
 
 from dataclasses import dataclass
@@ -11,49 +11,49 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.prefixes import PromptPart
 
-#: Seconds that a full batch adds to the wait for a first token.
+#: Seconds that a full batch adds to the time to the first token.
 FULL_BATCH_SECONDS = 0.25
-#: Seconds that a request waits for each full batch queued before it.
+#: Seconds of wait for each full batch that is queued before a request.
 QUEUED_BATCH_SECONDS = 1.5
-#: Seconds that a plain call holds a slot, assumed until measured.
+#: Seconds that a call without a prompt is assumed to hold a slot.
 CALL_SECONDS = 0.1
-#: Seconds that each recent failure of an upstream counts for.
+#: Penalty in seconds for each recent failure of an upstream.
 FAILURE_PENALTY_SECONDS = 0.5
-#: Seconds that another data centre counts for: its way and its price.
+#: Penalty in seconds for another data centre: its latency and its price.
 REMOTE_PENALTY_SECONDS = 0.004
-#: Seconds of reading without a token that streams bear; while a prompt is
-#: read, all streams of its upstream stand still.
+#: Seconds without a token that streams tolerate. The prefill of a prompt stalls
+#: all streams of its upstream.
 TOLERATED_STALL_SECONDS = 0.25
-#: Seconds that each second of a longer stall counts for, for each stream.
+#: Cost in seconds, per stream, of each second of stall beyond that.
 STALL_WEIGHT = 1.0
 
 
 class UpstreamLoads(Protocol):
-    """Tell what a choice has to know of each upstream."""
+    """Provide the loads of upstreams that a choice depends on."""
 
     def running_at(self, lifetime: Lifetime) -> int:
-        """Return the requests that run there, fleet wide."""
+        """Return the requests that run at an upstream, fleet-wide."""
 
     def prefill_at(self, lifetime: Lifetime) -> int:
-        """Return the prompt tokens that are still to be read there."""
+        """Return the prompt tokens that an upstream has still to read."""
 
     def failures_at(self, lifetime: Lifetime, now: float) -> float:
-        """Return the recent failures there."""
+        """Return the recent failures of an upstream."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingRequest:
-    """State what the choice for one request depends on."""
+    """Describe one request as far as the choice of an upstream needs it."""
 
     attempt_id: str
     data_centre: str
     parts: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
-    #: Upstreams that were tried already.
+    #: Upstreams that were already tried.
     tried: frozenset[Lifetime] = frozenset()
-    #: Name of the request at each attempt.
+    #: Identity of the request, the same for each attempt.
     identity: RequestIdentity = RequestIdentity('')
-    #: Upstreams that want nothing from the entry that asks.
+    #: Upstreams that asked this entry to back off.
     avoided: frozenset[Lifetime] = frozenset()
 
 
@@ -65,10 +65,10 @@
     rate: float,
     now: float,
 ) -> float:
-    """Estimate what a request costs at one upstream, in seconds.
+    """Estimate the cost of a request at one upstream, in seconds.
 
-    This is its time to the first token, and the time that the streams which
-    run there stand still for it. ``rate`` is in tokens read a second.
+    This is its time to the first token plus the time for which it stalls the
+    streams that run there. ``rate`` is the prefill speed in tokens per second.
     """
     lifetime = row.lifetime
     running = loads.running_at(lifetime)
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
@@ -1,8 +1,8 @@
-"""Count at the home what runs where, exact to the last grant.
+"""Count at the home what runs at each upstream, including the latest grants.
 
-An entry's own counts are the truth, but they arrive late. Grants that they
-do not include yet are added to them, so two requests that ask in the same
-moment are not sent to the same free upstream.
+The counts that entries report are exact but arrive late. Grants that they do
+not include yet are added, so that two simultaneous requests are not sent to
+the same free upstream.
 """
 
 from collections import Counter
@@ -16,59 +16,60 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryLoad:
-    """State what one entry has running, by upstream."""
+    """Hold what one entry has running at each upstream."""
 
     running: ByLifetime = field(default_factory=dict)
-    #: Prompt tokens that the upstream has still to read.
+    #: Prompt tokens that each upstream has still to read.
     prefill: ByLifetime = field(default_factory=dict)
-    #: Number of the last grant that the counts include, or that was not used.
+    #: Number of the last grant that the counts include or that was not used.
     seen: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Let one entry send one request to one upstream."""
+    """Permit one entry to send one request to one upstream."""
 
     number: int
     lifetime: Lifetime
     #: Prompt tokens that the upstream is expected to read for it, and those
-    #: that wait there.
+    #: queued before it.
     prefill: int
     ahead: int = 0
-    #: Whether the upstream names a limit, and this counts against it.
+    #: Whether the upstream names a rate limit that this grant counts against.
     is_permit: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """Say that no upstream takes a request now, and when one does."""
+    """State that no upstream accepts a request now, and when to retry."""
 
     seconds: float
 
 
 @dataclass(slots=True)
 class EntryGrants:
-    """Hold the last counts of an entry and the grants that came after."""
+    """Hold the last counts of an entry and the grants made since."""
 
     load: EntryLoad = field(default_factory=EntryLoad)
     last_report_at: float = 0
-    #: Seconds after which it is unheard, by the period that it was told.
-    report_timeout: float = UNHEARD_SECONDS
+    #: Seconds without a report after which the entry is dropped, derived from
+    #: the report period that it was given.
+    load_expires_after: float = UNHEARD_SECONDS
     pending: list[Grant] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class GrantBook:
-    """Hold the sums over all entries that are alive."""
+    """Sum the counts and pending grants of all live entries."""
 
     running: Counter[Lifetime] = field(default_factory=Counter)
     prefill: Counter[Lifetime] = field(default_factory=Counter)
-    #: Requests that asked for the first time, by service, granted or not.
+    #: First attempts of requests, by service, granted or not.
     first_attempts: Counter[str] = field(default_factory=Counter)
     _entries: dict[str, EntryGrants] = field(default_factory=dict)
 
-    def learn(self, entry: str, load: EntryLoad, now: float) -> None:
-        """Take over the newest counts of an entry."""
+    def apply_report(self, entry: str, load: EntryLoad, now: float) -> None:
+        """Replace the counts of an entry with those of its newest report."""
         row = self._entries.setdefault(entry, EntryGrants())
         self._add(row.load, -1)
         self._add(load, 1)
@@ -79,21 +80,21 @@
             self._count(grant, -1)
         row.pending = row.pending[len(included) :]
 
-    def set_report_timeout(self, entry: str, report_timeout: float) -> None:
-        """Note how long an entry may be silent, as its reports are due."""
-        self._entries[entry].report_timeout = report_timeout
+    def set_load_expiry(self, entry: str, load_expires_after: float) -> None:
+        """Set the time without a report after which an entry is dropped."""
+        self._entries[entry].load_expires_after = load_expires_after
 
     def grant(self, entry: str, grant: Grant) -> None:
-        """Count a grant until the entry's own counts include it."""
+        """Count a grant until the counts of the entry include it."""
         self._entries.setdefault(entry, EntryGrants()).pending.append(grant)
         self._count(grant, 1)
 
     def drop_silent_entries(self, now: float) -> None:
-        """Drop the entries that are not heard any more."""
+        """Drop the entries whose reports are overdue."""
         silent = [
             entry
             for entry, row in self._entries.items()
-            if now - row.last_report_at > row.report_timeout
+            if now - row.last_report_at > row.load_expires_after
         ]
         for entry in silent:
             row = self._entries.pop(entry)
@@ -112,13 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLoads:
-    """Show the home's exact counts and the failures that it knows."""
+    """Combine the exact counts of the home with the recorded failures."""
 
     book: GrantBook
     failures: Loads
 
     def running_at(self, lifetime: Lifetime) -> int:
-        """Return the requests that run at an upstream, fleet wide."""
+        """Return the requests that run at an upstream, fleet-wide."""
         return self.book.running[lifetime]
 
     def prefill_at(self, lifetime: Lifetime) -> int:
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/retry_budget.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/retry_budget.py
@@ -1,33 +1,33 @@
-"""Bound how many requests an entry sends to a second upstream.
+"""Limit the retries of an entry to its share of the fleet's retry budget.
 
-The fleet may send a share of its requests again, and a fixed allowance, in
-any window. Each entry counts its own requests and retries of the last window
-and holds an equal part of the allowance, so the sum over all entries stays
-inside in every window, and no entry needs to ask another.
+In any window, the fleet may retry a fraction of its requests plus a fixed
+allowance. Each entry counts its own requests and retries of the last window
+and holds an equal share of the allowance. The sum over all entries therefore
+stays within the budget in every window without coordination.
 """
 
 from dataclasses import dataclass, field
 
 from spanfall_core.gateway.known.spending import Spending
 
-#: Part of what the platform allows that is used, for what entries that died
-#: in the same window had spent.
+#: Fraction of the platform's limit that is used. The rest covers the retries of
+#: entries that died in the same window.
 SAFETY_FACTOR = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """State what the whole fleet may send again in one window."""
+    """State the retries that the whole fleet may make in one window."""
 
     ratio: float
     allowance: float
-    #: Seconds of the window.
+    #: Length of the window in seconds.
     window: float
 
 
 @dataclass(slots=True)
 class SentRequests:
-    """Hold the requests and the retries of the last window."""
+    """Count the requests and the retries of the last window."""
 
     requests: Spending = field(default_factory=Spending)
     retries: Spending = field(default_factory=Spending)
@@ -35,21 +35,21 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Hold what one entry has sent, by service."""
+    """Hold the retry budget of one entry, by service."""
 
     limits: RetryLimits
     entries: int = 1
     _sent: dict[str, SentRequests] = field(default_factory=dict)
 
     def record_request(self, service: str, now: float) -> None:
-        """Count a request; it earns a part of a retry."""
+        """Count a request, which adds a fraction of a retry to the credit."""
         self._for_service(service).requests.spend(1, self.limits.window, now)
 
     def try_spend(self, service: str, now: float) -> bool:
-        """Take the credit for sending one request again.
+        """Spend the credit for one retry, if there is enough.
 
-        Credit that was not used leaves with its window: saved up, it passed
-        the limit as soon as most upstreams refused at once.
+        Unused credit expires with its window. Accumulated credit would exceed
+        the limit as soon as most upstreams refuse at once.
         """
         sent = self._for_service(service)
         window = self.limits.window
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/sends.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/sends.py
@@ -1,7 +1,7 @@
-"""Classify the end of a send and decide what follows.
+"""Classify the outcome of a failed send and decide the next step.
 
-This is the one table of failure points: what an end says about whether the
-request ran, and so which answers are true.
+This is the only place that maps points of failure to whether the request may
+have run, and thus to the answers that are correct.
 """
 
 from collections.abc import Callable
@@ -14,25 +14,25 @@
 
 @unique
 class SendOutcome(StrEnum):
-    """Name how one send to an upstream ended before any answer part."""
+    """Name the outcome of a send that failed before any part of an answer."""
 
     #: No connection, so nothing was sent.
     NOT_SENT = 'not-sent'
-    #: The upstream says that it did not run the request.
+    #: The upstream answered that it did not run the request.
     REFUSED = 'refused'
-    #: Another lifetime has the address; nothing ran.
+    #: Another lifetime answers at the address; the request did not run.
     OTHER_LIFETIME = 'other-lifetime'
-    #: A whole answer of the upstream with a status of 500 or more.
+    #: A complete answer of the upstream with a status of 500 or more.
     FAILED = 'failed'
-    #: Reset, close, silence or bytes that are no answer, after the send.
+    #: A reset, a close, no data or an invalid answer, after the send.
     BROKEN = 'broken'
-    #: No answer inside the time that was left.
+    #: No answer before the deadline.
     TIMED_OUT = 'timed-out'
 
 
 @unique
 class NextStep(StrEnum):
-    """Name what the entry does after a failed send."""
+    """Name the action of the entry after a failed send."""
 
     SEND_AGAIN = 'send-again'
     ANSWER_NOT_RUN = 'answer-not-run'
@@ -40,7 +40,7 @@
     RELAY = 'relay'
 
 
-#: Ends after which the request has certainly not run.
+#: Outcomes that prove that the request did not run.
 NOT_RUN_OUTCOMES = frozenset(
     (SendOutcome.NOT_SENT, SendOutcome.REFUSED, SendOutcome.OTHER_LIFETIME),
 )
@@ -54,21 +54,21 @@
     SendOutcome.TIMED_OUT: RetryReason.UPSTREAM_TIMEOUT,
 }
 
-#: Most sends of one request, whatever their ends.
+#: Maximum number of sends of one request, whatever their outcomes.
 MAX_SENDS = 4
 
 
 @dataclass(slots=True)
 class SendState:
-    """Hold what the sends of one request have proved so far."""
+    """Track the sends of one request and what their outcomes prove."""
 
     sends: int = 0
-    #: Upstreams that may have run the request.
+    #: Number of upstreams that may have run the request.
     may_have_run: int = 0
 
     @property
     def proven_not_run(self) -> bool:
-        """Tell whether no upstream can have run the request."""
+        """Return whether no upstream can have run the request."""
         return not self.may_have_run
 
 
@@ -78,10 +78,11 @@
     state: SendState,
     take_retry: Callable[[], bool],
 ) -> NextStep:
-    """Decide what follows the end of a send.
+    """Decide the next step after a failed send.
 
-    ``take_retry`` takes a retry from the budget if there is one and another
-    upstream is left; it is asked only where another send is allowed.
+    ``take_retry`` takes a retry from the budget and returns whether there was
+    one and another upstream is left. It is called only if the route allows
+    another send.
     """
     if outcome not in NOT_RUN_OUTCOMES:
         state.may_have_run += 1
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/shortlist.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/shortlist.py
@@ -1,10 +1,10 @@
-"""Name the few upstreams of a large service among which one is best.
+"""Select the few upstreams of a large service that are worth an estimate.
 
-A full estimate of each upstream costs the home a time that grows with their
-number. What an upstream would cost without regard to the single request
-changes little between two choices, so it is kept for all and corrected by each
-choice; only those for which it is least, near the place where the prompt
-belongs or among those that have read its parts, get a full estimate.
+Estimating every upstream takes the home a time that grows with their number.
+The part of the cost that does not depend on the single request changes little
+between two choices. It is cached for all upstreams and adjusted after each
+choice. Only those with the least cached cost, near the position of the prompt
+or among the upstreams that have read its parts, get a full estimate.
 """
 
 from bisect import bisect_left
@@ -18,53 +18,53 @@
 
 Row = TypeVar('Row')
 
-#: Upstreams up to which a choice estimates all of them.
+#: Number of upstreams up to which all of them are estimated.
 FULL_SEARCH_LIMIT = 32
-#: Upstreams that are compared, around the place of a prompt and spread over the
-#: whole row, and those of them that get a full estimate.
+#: Upstreams compared near the position of a prompt, upstreams compared that are
+#: spread over the whole row, and the best of both that get a full estimate.
 NEARBY_COMPARED = 64
 SPREAD_COMPARED = 48
 NEARBY_ESTIMATED = 8
-#: The same among those that have read a part of the prompt, for the last parts
-#: that anybody has read.
+#: Holders compared for each part of the prompt, the best of them that get a
+#: full estimate, and the number of last parts considered that have holders.
 HOLDERS_COMPARED = 24
 HOLDERS_ESTIMATED = 4
 PARTS_CONSIDERED = 2
-#: Seconds after which what is kept is found anew, and the choices for each
-#: upstream that may come before.
+#: Seconds, and choices per upstream, after which the cached costs are
+#: recomputed.
 MAX_AGE_SECONDS = 0.25
 MAX_CHOICES_PER_UPSTREAM = 0.5
 
-#: Return the seconds that a short and a long prompt would lose at an upstream.
+#: Return the cost in seconds of a short and a long prompt at an upstream.
 LoadWeight = Callable[[Lifetime, Row], tuple[float, float]]
 
 
 @dataclass(slots=True)
 class Shortlist(Generic[Row]):
-    """Hold what is lately known of the load of one service."""
+    """Cache the request-independent costs of the upstreams of one service."""
 
     rows: Sequence[Row] = ()
-    #: Places of the rows on a ring that all nodes share.
+    #: Positions of the rows on a hash ring that all nodes share.
     digests: Sequence[int] = ()
-    #: Numbers of the rows by lifetime.
+    #: Indices of the rows by lifetime.
     index_by_lifetime: Mapping[Lifetime, int] = field(default_factory=dict)
-    #: Seconds that a short and a long prompt would lose at each.
+    #: Cost in seconds of a short and a long prompt at each upstream.
     _short: list[float] = field(default_factory=list)
     _long: list[float] = field(default_factory=list)
     _refreshed_at: float = float('-inf')
     _choices: int = 0
 
     def preferred(self, digest: int) -> int:
-        """Return the number of the row that follows a place on the ring."""
+        """Return the index of the row that follows a digest on the ring."""
         return bisect_left(self.digests, digest) % len(self.rows)
 
     def is_stale(self, now: float) -> bool:
-        """Tell whether the loads are to be found anew."""
+        """Return whether the cached costs have to be recomputed."""
         is_exhausted = self._choices > len(self.rows) * MAX_CHOICES_PER_UPSTREAM
         return is_exhausted or now - self._refreshed_at > MAX_AGE_SECONDS
 
     def refresh(self, weigh: LoadWeight[Row], now: float) -> None:
-        """Find the load of each upstream."""
+        """Recompute the cached costs of each upstream."""
         named = zip(self.index_by_lifetime, self.rows, strict=True)
         weights = [weigh(lifetime, row) for lifetime, row in named]
         self._short = [short for short, _ in weights]
@@ -73,7 +73,7 @@
         self._choices = 0
 
     def record_choice(self, lifetime: Lifetime, seconds: float) -> None:
-        """Note what one more request costs the next at its upstream."""
+        """Add the cost of a newly chosen request to its upstream."""
         self._choices += 1
         index = self.index_by_lifetime[lifetime]
         self._short[index] += seconds
@@ -87,10 +87,11 @@
         *,
         is_long: bool,
     ) -> set[int]:
-        """Return the numbers of the rows to estimate for a prompt.
+        """Return the indices of the rows to estimate for a prompt.
 
-        It belongs at a ``place`` from 0 to 1 and loses ``slope`` seconds over
-        the whole row; ``holders`` have read its parts, the last part first.
+        ``position`` is that of the prompt, from 0 to 1. ``slope`` is the
+        penalty in seconds for the distance of the whole row. ``holders`` are
+        the upstreams that have read its parts, the last part first.
         """
         weights = self._long if is_long else self._short
         count = len(weights)
@@ -114,9 +115,9 @@
         return chosen
 
     def _compared_indices(self, center: float) -> Iterable[int]:
-        """Return the numbers of the rows that are compared.
+        """Return the indices of the rows to compare.
 
-        Those that are spread over the row are others at each choice.
+        Those that are spread over the whole row differ from choice to choice.
         """
         count = len(self.rows)
         first = max(
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/sizes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/sizes.py
@@ -1,9 +1,9 @@
-"""Place prompts of like length together.
+"""Route prompts of similar length to the same engines.
 
-While an engine reads a long prompt, all streams that it serves stand still.
-So the engines of a service form a row, and each prompt belongs at the place
-in it up to which the shorter ones fill the engines: long prompts hold up
-other long ones, and short ones hardly ever meet one.
+The prefill of a long prompt stalls all streams of its engine. The engines of a
+service therefore form a row, and the position of a prompt in it is the
+fraction of all prefill work that shorter prompts cause. Long prompts then
+mostly delay other long ones, and short prompts rarely meet them.
 """
 
 from dataclasses import dataclass, field
@@ -12,44 +12,46 @@
 
 from spanfall_core.gateway.known.engine_model import reading_work
 
-#: Buckets for each doubling of the length.
+#: Buckets per doubling of the length.
 BUCKETS_PER_DOUBLING = 2
-#: Tokens up to which all prompts are alike.
+#: Length in tokens up to which all prompts share one bucket.
 MIN_TOKENS = 64
 BUCKET_COUNT = 24
-#: Seconds in which the weight of a prompt seen halves.
-SIZE_HALF_LIFE = 20.0
-#: Work of each length that is assumed to have been seen, in tokens, so that
-#: the first prompts do not move everything.
+#: Half-life of the weight of a prompt, in seconds.
+HALF_LIFE_SECONDS = 20.0
+#: Minimum work assumed in each bucket, in tokens, so that the first prompts do
+#: not shift all positions.
 PRIOR_TOKENS = 1000.0
 
 
 @dataclass(slots=True)
 class PromptSizes:
-    """Hold how the work of reading is spread over lengths of prompts."""
+    """Track how prefill work is distributed over prompt lengths."""
 
     _work: list[float] = field(
         default_factory=lambda: list(repeat(PRIOR_TOKENS, BUCKET_COUNT)),
     )
     _decayed_at: float = 0
 
-    def learn(self, tokens: int, now: float) -> None:
+    def record_prompt(self, tokens: int, now: float) -> None:
         """Count a prompt that is read now."""
         self._decay(now)
         self._work[_bucket(tokens)] += reading_work(tokens)
 
     def position(self, tokens: int) -> float:
-        """Return where a prompt belongs, from 0 for short to 1 for long."""
+        """Return the position of a prompt, from 0 for short to 1 for long."""
         bucket = _bucket(tokens)
         below = sum(self._work[:bucket]) + self._work[bucket] / 2
         return below / sum(self._work)
 
     def _decay(self, now: float) -> None:
-        passed = now - self._decayed_at
-        if passed < 1:
+        elapsed = now - self._decayed_at
+        if elapsed < 1:
             return
-        kept = 0.5 ** (passed / SIZE_HALF_LIFE)
-        self._work = [max(PRIOR_TOKENS, work * kept) for work in self._work]
+        decay_factor = 0.5 ** (elapsed / HALF_LIFE_SECONDS)
+        self._work = [
+            max(PRIOR_TOKENS, work * decay_factor) for work in self._work
+        ]
         self._decayed_at = now
 
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -161,7 +161,7 @@
             needed,
             self._asked.rates.get(service.name, 0),
         )
-        orders.demand.learn(needed, now)
+        orders.demand.record_need(needed, now)
 
     async def _send(self, order: Order, orders: ServiceOrders) -> None:
         state = self._state
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -124,7 +124,7 @@
                 self._state.follow_home(message.home, now)
             case LoadMessage():
                 book = self._state.grant_book
-                book.learn(message.entry, message.load, now)
+                book.apply_report(message.entry, message.load, now)
             case WatchedRun():
                 self._state.crashes.note_run(message, now)
             case WordsReport():
@@ -166,7 +166,7 @@
 
     def _grant(self, message: AskMessage, now: float) -> GrantMessage:
         state = self._state
-        state.grant_book.learn(message.entry, message.load, now)
+        state.grant_book.apply_report(message.entry, message.load, now)
         return decide(state, message.entry, message.number, message.request)
 
     def _units(self, message: UnitsRequest, now: float) -> UnitsMessage:
@@ -185,8 +185,8 @@
         state.learn_report(state.own_report(), now)
         load = EntryLoad(report.running, report.prefill, message.seen)
         period = state.fleet.period(now)
-        state.grant_book.learn(report.key, load, now)
-        state.grant_book.set_report_timeout(report.key, unheard_after(period))
+        state.grant_book.apply_report(report.key, load, now)
+        state.grant_book.set_load_expiry(report.key, unheard_after(period))
         state.grant_book.drop_silent_entries(now)
         totals = None
         if message.wants_totals:
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -161,7 +161,7 @@
 
     def learn_own_load(self, now: float) -> None:
         """Count what runs here, as the home that also serves callers."""
-        self.grant_book.learn(self.entry_key, self.own_load(0), now)
+        self.grant_book.apply_report(self.entry_key, self.own_load(0), now)
 
     def learn_report(self, report: EntryReport, now: float) -> None:
         """Take over the report of an entry as the home."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -133,7 +133,7 @@
     withheld: AbstractSet[Lifetime],
 ) -> Grant | None:
     now = state.timers.now()
-    state.granted_prompts.learn(request.ask, now)
+    state.granted_prompts.record_prompt(request.ask, now)
     choice = choose(
         candidates,
         request.ask,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -81,7 +81,7 @@
         counts the request at once, before it waits for anything.
         """
         state = self.state
-        state.prompts.learn(ask, state.timers.now())
+        state.prompts.record_prompt(ask, state.timers.now())
         if state.tenure is not None:
             state.counters.grants.labels(AS_HOME).inc()
             request = GrantRequest(service, ask)
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -130,7 +130,7 @@
         ]
         present = count_serving(listed)
         demand = self.orders.demand
-        demand.learn(needed, self.now)
+        demand.record_need(needed, self.now)
         demand.record_initial_count(present.total(), self.now, self.now)
         if self.now < self.settles_at:
             return
--- a/tests/test_gateway_demand.py
+++ b/tests/test_gateway_demand.py
@@ -3,7 +3,7 @@
 from spanfall_core.gateway.known.configuration import EngineLimits
 from spanfall_core.gateway.known.engine_model import ReadingSpeed
 from spanfall_core.gateway.orders.demand import (
-    PEAK_HALF_LIFE,
+    PEAK_HALF_LIFE_SECONDS,
     TARGET_BATCH_UTILIZATION,
     TARGET_PREFILL_UTILIZATION,
     Demand,
@@ -15,10 +15,10 @@
 
 def test_demand_rises_at_once_and_falls_slowly():
     demand = Demand()
-    demand.learn(10, 10)
-    demand.learn(0, 10 + PEAK_HALF_LIFE)
+    demand.record_need(10, 10)
+    demand.record_need(0, 10 + PEAK_HALF_LIFE_SECONDS)
     assert round(demand.peak, 3) == 5
-    demand.learn(9, 20 + PEAK_HALF_LIFE)
+    demand.record_need(9, 20 + PEAK_HALF_LIFE_SECONDS)
     assert demand.peak == 9
 
 
@@ -39,5 +39,5 @@
 
 def test_counts_fall_only_after_a_while():
     held = SlidingMaximum()
-    counts = [held.learn(count, 4, now) for now, count in enumerate('5343322')]
+    counts = [held.update(count, 4, now) for now, count in enumerate('5343322')]
     assert counts == list('5555443')
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -54,7 +54,7 @@
     book = GrantBook()
     book.grant('e', Grant(1, 'u-0', 100))
     book.grant('e', Grant(2, 'u-1', 200))
-    book.learn('e', EntryLoad({'u-0': 1}, {'u-0': 100}, seen=1), 0)
+    book.apply_report('e', EntryLoad({'u-0': 1}, {'u-0': 100}, seen=1), 0)
     assert book.running == {'u-0': 1, 'u-1': 1}
     assert book.prefill == {'u-0': 100, 'u-1': 200}
 
@@ -62,14 +62,14 @@
 def test_a_grant_that_was_not_used_stops_to_count():
     book = GrantBook()
     book.grant('e', Grant(1, 'u-0', 100))
-    book.learn('e', EntryLoad({}, {}, seen=1), 0)
+    book.apply_report('e', EntryLoad({}, {}, seen=1), 0)
     assert not book.running
     assert not book.prefill
 
 
 def test_a_silent_entry_is_forgotten():
     book = GrantBook()
-    book.learn('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
+    book.apply_report('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
     book.grant('e', Grant(1, 'u-1', 5))
     book.drop_silent_entries(UNHEARD_SECONDS + 1)
     assert not book.running
@@ -92,7 +92,7 @@
     for entry, is_report, running, prefill in steps:
         if is_report:
             load = EntryLoad(running, prefill, numbers[entry])
-            book.learn(entry, load, 0)
+            book.apply_report(entry, load, 0)
             loads[entry] = load
             pending[entry].clear()
         else:
--- a/tests/test_gateway_order_patterns.py
+++ b/tests/test_gateway_order_patterns.py
@@ -168,11 +168,11 @@
     """
     known = Demand()
     for step in range(80):
-        known.learn(48, step / 4)
+        known.record_need(48, step / 4)
     taken = restore_demand(known.peak, 20)
-    taken.learn(10, 20.25)
+    taken.record_need(10, 20.25)
     assert taken.expected(20.25) > 0.9 * known.peak
-    assert taken.is_known(20.25)
+    assert taken.is_measured(20.25)
     unknown = restore_demand(0, 20)
     assert unknown.is_idle()
 
@@ -180,5 +180,5 @@
 def test_a_taken_over_need_fades_like_any_other():
     known = restore_demand(48, 20)
     for step in range(400):
-        known.learn(12, 20 + step / 4)
+        known.record_need(12, 20 + step / 4)
     assert known.peak < 15
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -73,8 +73,8 @@
             silent_after(period),
         )
         load = EntryLoad(report.running, report.prefill)
-        self.book.learn(report.key, load, now)
-        self.book.set_report_timeout(report.key, unheard_after(period))
+        self.book.apply_report(report.key, load, now)
+        self.book.set_load_expiry(report.key, unheard_after(period))
         self.book.drop_silent_entries(now)
         self.levels.give(report.key, LIMITS, now)
         return period
--- a/tests/test_gateway_shortlist.py
+++ b/tests/test_gateway_shortlist.py
@@ -69,7 +69,7 @@
         ask = RoutingRequest(
             str(number), f'z{draw.randrange(6)}', parts, tokens
         )
-        prompts.learn(ask, now)
+        prompts.record_prompt(ask, now)
         choice = choose(rows, ask, loads, prompts, now)
         if number >= WARM_UP:
             total += choice.seconds
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -21,9 +21,9 @@
     """Return sizes after short and long prompts of the same work."""
     sizes = PromptSizes()
     for _ in range(100):
-        sizes.learn(LONG, 0)
+        sizes.record_prompt(LONG, 0)
     for _ in range(100 * 60):
-        sizes.learn(SHORT, 0)
+        sizes.record_prompt(SHORT, 0)
     return sizes
 
 
@@ -31,7 +31,7 @@
 def test_places_grow_with_length(lengths, seconds):
     sizes = PromptSizes()
     for number, length in enumerate(lengths):
-        sizes.learn(length, number * seconds)
+        sizes.record_prompt(length, number * seconds)
     positions = [
         sizes.position(tokens) for tokens in (0, 500, 5000, 50_000, 10**6)
     ]
@@ -50,7 +50,7 @@
     sizes = seen_sizes()
     before = sizes.position(SHORT)
     for now in range(1, 100):
-        sizes.learn(SHORT, now)
+        sizes.record_prompt(SHORT, now)
     assert sizes.position(SHORT) > before
 
 
