--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
@@ -60,7 +60,7 @@
 
 
 Key = TypeVar('Key')
-Value = TypeVar('Value')
+Stored = TypeVar('Stored')
 
 
 @unique
@@ -270,7 +270,7 @@
         )
 
 
-def _evict_oldest(rows: dict[Key, Value], most: int) -> None:
+def _evict_oldest(rows: dict[Key, Stored], most: int) -> None:
     while len(rows) > most:
         rows.pop(next(iter(rows)))
 
--- a/tests/test_gateway_capacity.py
+++ b/tests/test_gateway_capacity.py
@@ -1,4 +1,4 @@
-"""Order upstreams: reclaimable first, spread, bridged only when needed."""
+"""Order upstreams: reclaimable ones spread evenly, on-demand as a fallback."""
 
 from collections import Counter
 from itertools import product
@@ -28,7 +28,7 @@
 
 
 def listed(reclaimable, on_demand):
-    """Return rows with so many upstreams of each kind in each place."""
+    """Return rows with these counts of each kind in each data centre."""
     return [
         ListedUpstream(
             f'{place}-{number}',
@@ -43,7 +43,7 @@
 
 
 def loaded(peak):
-    """Return orders of a service whose need was seen for long."""
+    """Return orders of a service whose need was observed for long enough."""
     demand = Demand(
         peak,
         initial_count=1,
@@ -53,14 +53,14 @@
     return ServiceOrders(demand=demand)
 
 
-def found(count):
-    """Return orders of a service that has just started with so many."""
+def started_with(count):
+    """Return orders of a service that has started with ``count`` upstreams."""
     return ServiceOrders(
         demand=Demand(initial_count=count, initial_count_at=-9)
     )
 
 
-def note_all(planned, orders, now=0):
+def accept_all(planned, orders, now=0):
     for order in planned:
         record_accepted(order, orders, now)
 
@@ -80,86 +80,90 @@
     return plan_orders('llm', SCALING, orders, serving, now)
 
 
-def test_all_register_before_the_first_order():
-    """Two of eighteen were taken as the need; the fleet shrank to four."""
+def test_first_order_waits_for_registration():
+    """Send no order before the initial count of upstreams is stable.
+
+    Otherwise the first two of eighteen are taken as the need, and the fleet
+    shrinks to four.
+    """
     orders = ServiceOrders()
     registered = (2, 6, 14, 18, 18)
     for now, count in enumerate(registered):
         orders.demand.record_initial_count(count, now, now)
         assert not plan(orders, count_serving(listed(0, 1)), now)
     orders.demand.record_initial_count(18, 5, 5)
-    note_all(plan(orders, count_serving(listed(0, 4)), 5), orders, 5)
-    # Each place keeps one of the others, so it has room for four at first.
+    accept_all(plan(orders, count_serving(listed(0, 4)), 5), orders, 5)
+    # Each data centre keeps one on-demand upstream, which leaves room for four.
     planned = as_rows(plan(orders, count_serving(listed(0, 1)), 9))
     assert {planned[place, True] for place in PLACES} == {4}
-    note_all(plan(orders, count_serving(listed(4, 1)), 14), orders, 14)
+    accept_all(plan(orders, count_serving(listed(4, 1)), 14), orders, 14)
     planned = as_rows(plan(orders, count_serving(listed(4, 0)), 16))
     assert {planned[place, True] for place in PLACES} == {5}
 
 
-def test_an_idle_fleet_is_swapped_at_parity():
-    """As many reclaimable ones boot while nobody waits for the others."""
-    orders = found(8)
+def test_idle_fleet_is_replaced_at_once():
+    """Without load, on-demand upstreams stop while reclaimable ones boot."""
+    orders = started_with(8)
     serving = count_serving(listed(0, 2))
-    note_all(plan(orders, serving), orders)
+    accept_all(plan(orders, serving), orders)
     assert on_demand_in_force(orders) == 4
-    note_all(plan(orders, count_serving(listed(2, 1)), 5), orders, 5)
+    accept_all(plan(orders, count_serving(listed(2, 1)), 5), orders, 5)
     assert on_demand_in_force(orders) == 0
 
 
-def test_a_loaded_fleet_keeps_what_serves():
-    """Those who boot serve nobody; what serves stays one for one."""
-    orders = found(8)
+def test_loaded_fleet_keeps_serving_upstreams():
+    """Under load, on-demand upstreams stay until replacements serve."""
+    orders = started_with(8)
     orders.demand.loaded_since = 0
     kept = []
     swap = {0: (0, 2), 1: (0, 2), 2: (1, 2), 3: (2, 1)}
     for now, rows in swap.items():
-        note_all(plan(orders, count_serving(listed(*rows)), now), orders, now)
+        accept_all(plan(orders, count_serving(listed(*rows)), now), orders, now)
         kept.append(on_demand_in_force(orders, before=2))
     assert kept == [8, 8, 4, 0]
 
 
-def test_what_boots_needs_no_bridge():
-    """Others boot as long, at four times the price."""
+def test_booting_upstreams_need_no_on_demand_ones():
+    """On-demand upstreams boot as slowly, at four times the price."""
     orders = loaded(4)
-    note_all(plan(orders, count_serving(listed(2, 0))), orders)
+    accept_all(plan(orders, count_serving(listed(2, 0))), orders)
     orders.demand.peak = 12
     there = count_serving(listed(2, 0))
-    note_all(plan(orders, there, 1), orders, 1)
+    accept_all(plan(orders, there, 1), orders, 1)
     assert {orders.in_force[place, True] for place in PLACES} == {4}
-    note_all(plan(orders, there, 1.25), orders, 1.25)
+    accept_all(plan(orders, there, 1.25), orders, 1.25)
     assert on_demand_in_force(orders) == 0
 
 
-def test_others_leave_when_they_are_not_needed():
+def test_unneeded_on_demand_upstreams_stop():
     planned = as_rows(plan(loaded(6), count_serving(listed(3, 1))))
     assert {planned[place, False] for place in PLACES} == {0}
 
 
-def test_the_rest_carries_a_place_that_lost_all():
+def test_other_data_centres_cover_a_lost_one():
     rows = [row for row in listed(2, 0) if row.data_centre != 'south']
     planned = as_rows(plan(loaded(5), count_serving(rows)))
     assert planned['south', True] == 2
     assert planned.get(('south', False), 0) == 0
 
 
-def test_a_gap_is_bridged_after_a_refusal():
+def test_on_demand_upstreams_replace_refused_ones():
     orders = loaded(10)
     serving = count_serving(listed(1, 0))
     for order in plan(orders, serving):
         if order.reclaimable:
             record_refused(order, orders, 0)
-    note_all(plan(orders, serving, 0.25), orders, 0.25)
+    accept_all(plan(orders, serving, 0.25), orders, 0.25)
     assert on_demand_in_force(orders) == 6
     assert not any(row.reclaimable for row in plan(orders, serving, 1))
-    # Asking again sends none of the bridge away.
+    # A new order to the data centres stops no on-demand upstream.
     again = plan(orders, serving, 4)
     assert any(row.reclaimable for row in again)
     assert all(row.reclaimable for row in again)
 
 
-def test_a_second_loss_is_bridged_before_it_comes():
-    """None are to be had: what one more place has may go too."""
+def test_second_loss_is_covered_ahead():
+    """During a shortage, the loss of one more data centre is covered."""
     orders = loaded(9)
     there = count_serving(listed(4, 0))
     assert not any(
@@ -175,7 +179,7 @@
     assert sum(planned.get((place, False), 0) for place in PLACES) == 4
 
 
-def test_what_went_again_is_ordered_at_once():
+def test_lost_upstreams_are_ordered_again_at_once():
     orders = loaded(6)
     there = count_serving(listed(3, 0))
     for order in plan(orders, there):
@@ -186,7 +190,7 @@
     assert [place for place, kind in again if kind] == ['north']
 
 
-def test_a_jam_is_no_lasting_need():
+def test_backlog_is_no_lasting_need():
     engine = EngineLimits(slots=10, cache_tokens=1)
     speed = ReadingSpeed()
     jam, full = OfferedLoad(running=300), OfferedLoad(running=30)
@@ -194,8 +198,8 @@
     assert waiting == needed_upstreams(engine, full, speed, present=3)
 
 
-def test_few_others_less_are_not_sent_away():
-    """Counts that swing by one would start and stop upstreams."""
+def test_small_changes_stop_no_upstreams():
+    """A need that varies by one must not start and stop upstreams."""
     orders = loaded(12)
     orders.refused_until = dict.fromkeys(PLACES, 60)
     reclaimable = Counter(north=4, east=4, south=2, west=1)
@@ -211,41 +215,48 @@
     assert counts[-1] == 4
 
 
-def test_a_full_place_stays_full_in_a_dry_spell():
-    """It swung between four and five others, four times a second."""
+def test_full_data_centre_stays_full_in_shortage():
+    """Keep the count of a full data centre stable during a shortage.
+
+    It alternated between four and five on-demand upstreams, four times a
+    second.
+    """
     orders = loaded(12)
     orders.refused_until = dict.fromkeys(PLACES, 60)
     on_demand = dict.fromkeys(PLACES, 3) | {'south': 5, 'west': 5}
     serving = ServingCounts(Counter(), Counter(on_demand))
     counts = set()
     for step in range(8):
-        note_all(plan(orders, serving, step / 4), orders, step / 4)
+        accept_all(plan(orders, serving, step / 4), orders, step / 4)
         counts.add(orders.in_force.get(('south', False), 5))
     assert counts == {5}
     orders.refused_until = {}
-    note_all(plan(orders, serving, 20), orders, 20)
+    accept_all(plan(orders, serving, 20), orders, 20)
     assert orders.in_force['south', False] == 4
 
 
-def test_a_dry_spell_sends_none_away():
-    """A third of them went as the load fell, and others came in their place."""
+def test_shortage_stops_no_reclaimable_upstreams():
+    """Stop no reclaimable upstream during a shortage when the load falls.
+
+    A third of them were stopped and replaced by on-demand upstreams.
+    """
     orders = loaded(8)
     there = count_serving(listed(3, 0))
-    note_all(plan(orders, there), orders)
+    accept_all(plan(orders, there), orders)
     orders.demand.peak = 4
     lost = count_serving(listed(3, 0)[3:])
     for now in range(1, 30):
         orders.refused_until['north'] = now + 3
-        note_all(plan(orders, lost, now), orders, now)
+        accept_all(plan(orders, lost, now), orders, now)
     assert orders.in_force['south', True] == 3
     orders.refused_until = {}
     for later in range(31, 45):
-        note_all(plan(orders, there, later), orders, later)
+        accept_all(plan(orders, there, later), orders, later)
     assert orders.in_force['south', True] == 2
 
 
-def test_others_stay_where_they_are():
-    """Room that moves between places moves no upstream."""
+def test_on_demand_upstreams_do_not_move():
+    """Free capacity that moves between data centres moves no upstream."""
     orders = loaded(14)
     for cheap in ('south', 'west'):
         orders.in_force[cheap, False] = 2
@@ -258,8 +269,8 @@
         assert kept == [2, 2]
 
 
-def test_without_reclaimable_ones_others_serve():
-    """A service whose settings offer none is run on others."""
+def test_no_reclaimable_price_means_on_demand():
+    """Run a service without a reclaimable price on on-demand upstreams."""
     scaling = Scaling(1, 5, 4, reclaimable_price=0, prices=PLACES)
     serving = count_serving(listed(0, 1))
     planned = as_rows(plan_orders('llm', scaling, loaded(7), serving, 0))
@@ -267,11 +278,11 @@
     assert not any(kind for _, kind in planned)
 
 
-def test_what_is_in_force_is_not_ordered_again():
-    orders = found(8)
+def test_orders_in_force_are_not_repeated():
+    orders = started_with(8)
     serving = count_serving(listed(0, 2))
-    note_all(plan(orders, serving), orders)
-    note_all(plan(orders, serving, 1), orders, 1)
+    accept_all(plan(orders, serving), orders)
+    accept_all(plan(orders, serving, 1), orders, 1)
     assert not plan(orders, serving, 2)
     late = plan(orders, serving, 8)
     assert late
--- a/tests/test_gateway_crash_signs.py
+++ b/tests/test_gateway_crash_signs.py
@@ -1,4 +1,4 @@
-"""Hold requests back where ends of upstreams show late, and refuse none.
+"""Hold requests back while crashes are only suspected, and refuse none.
 
 Lists are plain rows with a time, so a day of heartbeats takes milliseconds.
 """
@@ -29,76 +29,80 @@
 
 
 def upstream(name, address=None, **fields):
-    """Return a row of the list."""
+    """Return a row of the platform's list."""
     return ListedUpstream(
         name, 's', address or f'{name}:1', 'north', 4, **fields
     )
 
 
 def listing(rows, revision=1, proved_at=0):
-    """Return what a node knows that has read this list at a time."""
+    """Return the directory of a node that read this list at a time."""
     directory = Directory()
     directory.apply(revision, rows, proved_at, NO_OUTAGE)
     directory.prove(proved_at)
     return directory
 
 
-def doubted(*names, since=0, is_strong=True):
-    """Return doubts of some upstreams."""
+def suspect_all(*names, since=0, is_strong=True):
+    """Return suspected crashes of some upstreams."""
     return {name: SuspectedCrash(since, is_strong) for name in names}
 
 
-def test_an_entry_that_went_shows_an_end():
+def test_removed_row_confirms_a_crash():
     directory = listing([upstream('u-1')], proved_at=1)
-    found = settle(doubted('u-1', 'u-2'), directory, HEARTBEAT, 1)
+    found = settle(suspect_all('u-1', 'u-2'), directory, HEARTBEAT, 1)
     assert found == SettledCrashes(ended=('u-2',))
 
 
-def test_an_older_list_tells_nothing():
+def test_older_list_proves_nothing():
     directory = listing([upstream('u-1')], proved_at=1)
-    found = settle(doubted('u-2', since=2), directory, HEARTBEAT, 3)
+    found = settle(suspect_all('u-2', since=2), directory, HEARTBEAT, 3)
     assert found == SettledCrashes()
 
 
-def test_another_one_at_its_address_shows_an_end():
+def test_reused_address_confirms_a_crash():
     rows = [upstream('u-1', 'a:1'), upstream('u-2', 'a:1')]
-    found = settle(doubted('u-1'), listing(rows, proved_at=1), HEARTBEAT, 1)
+    found = settle(suspect_all('u-1'), listing(rows, proved_at=1), HEARTBEAT, 1)
     assert found == SettledCrashes(ended=('u-1',))
 
 
 @pytest.mark.parametrize('heartbeat', (0.4, 1.2, 3.0))
-def test_an_entry_that_stays_shows_a_life(heartbeat):
+def test_remaining_row_proves_upstream_alive(heartbeat):
     rows = [upstream('u-1')]
     late = max_listing_delay(heartbeat)
     for proved_at, found in ((late - 0.1, SettledCrashes()), (late, None)):
         expected = found or SettledCrashes(alive=('u-1',))
         directory = listing(rows, proved_at=proved_at)
-        assert settle(doubted('u-1'), directory, heartbeat, late) == expected
+        assert (
+            settle(suspect_all('u-1'), directory, heartbeat, late) == expected
+        )
 
 
-def test_an_upstream_that_begins_to_leave_lives():
+def test_leaving_upstream_is_alive():
     directory = listing([upstream('u-1', leaving=True)], proved_at=1)
-    found = settle(doubted('u-1'), directory, HEARTBEAT, 1)
+    found = settle(suspect_all('u-1'), directory, HEARTBEAT, 1)
     assert found == SettledCrashes(alive=('u-1',))
 
 
-def test_a_doubt_ends_though_the_store_stays_away():
+def test_suspicion_expires_while_store_is_away():
     directory = listing([upstream('u-1')], proved_at=0)
-    found = settle(doubted('u-1'), directory, HEARTBEAT, MAX_SUSPECTED_SECONDS)
+    found = settle(
+        suspect_all('u-1'), directory, HEARTBEAT, MAX_SUSPECTED_SECONDS
+    )
     assert found == SettledCrashes(alive=('u-1',))
 
 
-def broken_at(table, *names, is_strong=True, identity=CAUSE):
-    """Note that sends of a request broke at some upstreams."""
+def record_suspected(table, *names, is_strong=True, identity=CAUSE):
+    """Record suspected crashes of some upstreams under a request."""
     for name in names:
         table.record_suspected_crash(identity, name, 0, is_strong=is_strong)
 
 
-def test_doubts_hold_and_ends_convict():
+def test_suspected_crashes_hold_a_request():
     table = CrashTable()
-    broken_at(table, 'u-1', 'u-2')
+    record_suspected(table, 'u-1', 'u-2')
     assert table.standing(CAUSE, 0) is Standing.SUSPECT
-    broken_at(table, 'u-3')
+    record_suspected(table, 'u-3')
     assert table.standing(CAUSE, 0) is Standing.HELD
     assert [table.confirm_crash(name, 1) for name in ('u-1', 'u-2')] == [[], []]
     assert table.standing(CAUSE, 1) is Standing.HELD
@@ -106,9 +110,9 @@
     assert table.standing(CAUSE, 1) is Standing.QUARANTINED
 
 
-def test_an_upstream_that_lives_absolves():
+def test_upstream_found_alive_clears_suspicion():
     table = CrashTable()
-    broken_at(table, 'u-1', 'u-2', 'u-3')
+    record_suspected(table, 'u-1', 'u-2', 'u-3')
     table.record_alive('u-2')
     assert table.standing(CAUSE, 0) is Standing.SUSPECT
     table.record_alive('u-1')
@@ -117,8 +121,11 @@
     assert table.standing(CAUSE, 0) is Standing.FREE
 
 
-def test_weak_signs_count_from_the_second_on():
-    """A reset or garbled answer looks so; a quick restart does too."""
+def test_weak_suspicions_count_from_the_second_on():
+    """The first weak suspicion does not count.
+
+    A reset or an invalid answer causes one, as does a quick restart.
+    """
     table = CrashTable()
     expected = (
         Standing.FREE,
@@ -127,16 +134,16 @@
         Standing.HELD,
     )
     for number, standing in enumerate(expected):
-        broken_at(table, f'u-{number}', is_strong=False)
+        record_suspected(table, f'u-{number}', is_strong=False)
         assert table.standing(CAUSE, 0) is standing
 
 
-def test_another_trial_tells_whose_ends_they_are():
-    """Two requests ran at all that ended; neither is refused for that."""
+def test_next_trial_decides_between_two_requests():
+    """Two requests ran at all crashed upstreams: neither is quarantined yet."""
     table = CrashTable()
     names = ('u-1', 'u-2', 'u-3')
     for identity in (CAUSE, 'beside'):
-        broken_at(table, *names, is_strong=False, identity=identity)
+        record_suspected(table, *names, is_strong=False, identity=identity)
     assert not any(table.confirm_crash(name, 1) for name in names)
     for identity in (CAUSE, 'beside'):
         assert table.standing(identity, 1) is Standing.SUSPECT
@@ -145,8 +152,8 @@
 
 
 @dataclass
-class Course:
-    """Let sends of some requests break, and lists settle what is open."""
+class Simulation:
+    """Simulate broken sends of some requests and lists that settle them."""
 
     rng: Random
     table: CrashTable = field(default_factory=CrashTable)
@@ -154,7 +161,7 @@
     broken: dict[str, set[str]] = field(default_factory=dict)
 
     def step(self, number, sign):
-        """Let one send break, or one upstream show that it lives."""
+        """Break one send, or show that one upstream is alive."""
         identity = self.rng.choice(('a', 'b', 'c'))
         lifetime = f'u-{self.rng.randrange(number + 1)}'
         if sign == 'lives':
@@ -172,7 +179,7 @@
             )
 
     def settle_one(self):
-        """Let the list show now and then that one has ended."""
+        """Confirm one suspected crash in a fifth of the steps."""
         if self.rng.random() < 0.2 and self.table.suspected_crashes:
             over = self.rng.choice(sorted(self.table.suspected_crashes))
             self.ended.add(over)
@@ -184,11 +191,11 @@
 
 @given(st.integers(0, 2**32), st.lists(st.sampled_from(SIGNS), max_size=40))
 @settings(max_examples=300, deadline=None)
-def test_three_certain_ends_and_no_less_convict(seed, signs):
-    course = Course(Random(seed))
+def test_only_three_confirmed_crashes_quarantine(seed, signs):
+    simulation = Simulation(Random(seed))
     for number, sign in enumerate(signs):
-        course.step(number, sign)
-        course.settle_one()
-        for refused in course.table.quarantined:
-            assert len(course.broken[refused] & course.ended) >= 3
-    assert not course.table.suspected_crashes.keys() & course.ended
+        simulation.step(number, sign)
+        simulation.settle_one()
+        for refused in simulation.table.quarantined:
+            assert len(simulation.broken[refused] & simulation.ended) >= 3
+    assert not simulation.table.suspected_crashes.keys() & simulation.ended
--- a/tests/test_gateway_crash_spread.py
+++ b/tests/test_gateway_crash_spread.py
@@ -1,4 +1,4 @@
-"""Let all entries know which request ends upstreams, whoever is lost."""
+"""Spread quarantines to all entries, and keep them when nodes are lost."""
 
 from unittest.mock import patch
 
@@ -25,7 +25,7 @@
 
 
 async def quarantine(world, state):
-    """Let three upstreams end under the request."""
+    """Let the request crash three upstreams."""
     for _ in range(4):
         await world.add_upstream(ends_under(DEADLY, whole()))
     await wait_until(lambda: len(state.directory.rows) == 4)
@@ -35,7 +35,7 @@
 
 
 def is_known(state):
-    """Tell whether a node sends the request no more."""
+    """Return whether a node has the request in quarantine."""
     return (
         state.crashes.standing(IDENTITY, state.timers.now())
         is Standing.QUARANTINED
@@ -43,7 +43,7 @@
 
 
 @in_world
-async def test_all_entries_hear_a_quarantine_at_once(world):
+async def test_all_entries_receive_a_quarantine_at_once(world):
     gateways = [await world.add_gateway() for _ in range(3)]
     await quarantine(world, gateways[0])
     with anyio.fail_after(0.2):
@@ -51,7 +51,7 @@
 
 
 @in_world
-async def test_a_quarantine_outlives_a_restart_of_all(world):
+async def test_quarantine_survives_restart_of_all_nodes(world):
     before = await world.add_gateway()
     await quarantine(world, before)
     await wait_until(lambda: CRASHES_KEY in world.store.items)
@@ -61,7 +61,7 @@
 
 
 @in_world
-async def test_an_entry_without_a_home_reads_the_store(world):
+async def test_entry_without_home_reads_quarantines(world):
     home = await world.add_gateway()
     with patch.object(EntryLink, '_connect', side_effect=OSError('cut')):
         alone = await world.add_gateway()
@@ -70,7 +70,7 @@
 
 
 @in_world
-async def test_a_garbled_answer_is_no_crash(world):
+async def test_invalid_answer_is_no_crash(world):
     await world.add_upstream(in_turn(raw(BROKEN), whole()))
     state = await world.add_gateway()
     await ask(state, PATH, body=DEADLY)
@@ -79,7 +79,7 @@
     assert answer.status == 200
 
 
-def test_a_new_home_sums_up_what_entries_saw():
+def test_new_home_combines_reported_crashes():
     home = CrashKnowledge()
     for number in range(3):
         entry = CrashKnowledge()
@@ -88,7 +88,7 @@
     assert home.standing(IDENTITY, 0) is Standing.QUARANTINED
 
 
-def test_a_new_home_learns_what_is_open():
+def test_new_home_combines_suspected_crashes():
     home = CrashKnowledge()
     for number in range(3):
         entry = CrashKnowledge()
@@ -98,8 +98,11 @@
     assert home.doubted.is_set()
 
 
-def test_a_doubt_of_what_has_ended_is_told():
-    """The home knows of all three ends; an entry only doubts the last."""
+def test_confirmed_suspicions_quarantine():
+    """A suspected crash that is already confirmed can quarantine a request.
+
+    The home has confirmed all three ends; they are reported as suspected.
+    """
     home = CrashKnowledge()
     for number in range(3):
         home.note_end('other', f'u-{number}', 0)
@@ -111,7 +114,7 @@
     assert told.is_set()
 
 
-def test_the_home_lets_the_next_trial_begin():
+def test_next_trial_begins_after_settle_time():
     home = CrashKnowledge()
     assert home.trials.try_begin('s', IDENTITY, 0)
     home.note_run(WatchedRun(IDENTITY, RunStage.BEGAN), 0.1)
@@ -119,7 +122,7 @@
     assert home.trials.try_begin('s', 'other', 0.4)
 
 
-def test_a_quarantine_passed_on_ends_in_time():
+def test_forwarded_quarantine_expires_in_time():
     first, second = CrashKnowledge(), CrashKnowledge()
     for number in range(3):
         first.note_end(IDENTITY, f'u-{number}', 0)
--- a/tests/test_gateway_crash_table.py
+++ b/tests/test_gateway_crash_table.py
@@ -1,7 +1,7 @@
-"""Find the request that ends upstreams among those that run beside it.
+"""Find the request that crashes upstreams among those that run beside it.
 
-The world below knows which request it is and which upstreams ended for other
-reasons; the table knows only which sends broke with an upstream.
+The simulated fleet has one request that crashes its upstreams, and upstreams
+that end for other reasons. The table only gets the sends that broke.
 """
 
 from dataclasses import dataclass, field
@@ -21,8 +21,8 @@
     Trials,
 )
 
-#: Seconds of a step, and steps for which a run lasts; the cause ends its
-#: upstream after the first.
+#: Seconds per step, and steps per run; the cause crashes its upstream after the
+#: first step.
 STEP = 0.1
 RUN_STEPS = 8
 UPSTREAMS = 5
@@ -31,7 +31,7 @@
 
 @dataclass
 class Fleet:
-    """Hold the requests that run and the upstreams that are alive."""
+    """Simulate requests that run on a fleet of upstreams."""
 
     rng: Random
     table: CrashTable = field(default_factory=CrashTable)
@@ -39,7 +39,7 @@
     now: float = 0
     born: int = UPSTREAMS
     alive: list[str] = field(default_factory=list)
-    #: Upstream and steps that are left of each run.
+    #: Upstream and remaining steps of each run.
     runs: dict[str, tuple[str, int]] = field(default_factory=dict)
     waiting: list[str] = field(default_factory=list)
     ended_by_cause: int = 0
@@ -48,7 +48,7 @@
         self.alive = [f'u-{number}' for number in range(UPSTREAMS)]
 
     def step(self):
-        """Send what may be sent, and let a step of time pass."""
+        """Send the waiting requests that may be sent; advance by one step."""
         self.now += STEP
         for name in list(self.waiting):
             self.send(name)
@@ -66,7 +66,7 @@
                 self.trials.end(name, self.now)
 
     def send(self, name):
-        """Send a request as its standing allows."""
+        """Send a request if its standing allows it."""
         standing = self.table.standing(name, self.now)
         if standing is Standing.QUARANTINED:
             self.waiting.remove(name)
@@ -78,7 +78,7 @@
         self.runs[name] = (self.rng.choice(self.alive), RUN_STEPS)
 
     def end(self, upstream):
-        """End an upstream; all that it runs breaks and comes again."""
+        """End an upstream; the requests that it runs fail and are retried."""
         self.alive.remove(upstream)
         self.alive.append(f'u-{self.born}')
         self.born += 1
@@ -92,7 +92,7 @@
 
 
 def play(seed, cause_at, waves):
-    """Play a fleet; return it after all has ended."""
+    """Simulate a fleet; return it after all requests have ended."""
     fleet = Fleet(Random(seed))
     for step in range(400):
         if step < 200:
@@ -108,7 +108,7 @@
 
 @given(st.integers(0, 2**32), st.sets(st.integers(0, 150), max_size=6))
 @settings(max_examples=150, deadline=None)
-def test_the_cause_is_found_and_nobody_else(seed, cause_at):
+def test_only_the_cause_is_quarantined(seed, cause_at):
     fleet = play(seed, {*cause_at, 60}, set())
     assert list(fleet.table.quarantined) == [CAUSE]
     assert fleet.ended_by_cause == QUARANTINE_THRESHOLD
@@ -118,8 +118,8 @@
 
 @given(st.integers(0, 2**32), st.integers(0, 20))
 @settings(max_examples=150, deadline=None)
-def test_reclaimed_upstreams_quarantine_none(seed, first):
-    """Most of the pool goes, again and again, as its hosts are reclaimed."""
+def test_reclaimed_upstreams_cause_no_quarantine(seed, first):
+    """Three of five upstreams are reclaimed at once, repeatedly."""
     gap = 4 * RUN_STEPS
     waves = set(range(first, 200, gap))
     fleet = play(seed, set(), waves)
@@ -128,7 +128,7 @@
     assert not fleet.runs
 
 
-def test_an_end_that_is_explained_counts_no_more():
+def test_explained_crash_counts_only_once():
     table = CrashTable()
     for number in range(QUARANTINE_THRESHOLD):
         table.record_crash('beside', f'u-{number}', 0)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize('ends', (1, 2))
-def test_a_whole_answer_clears(ends):
+def test_complete_answer_clears_a_request(ends):
     table = CrashTable()
     for number in range(ends):
         table.record_crash('r', f'u-{number}', 0)
@@ -150,7 +150,7 @@
     assert table.standing('r', 0) is Standing.FREE
 
 
-def test_endless_requests_displace_no_suspect():
+def test_many_requests_evict_no_suspect():
     table = CrashTable()
     table.record_crash('suspect', 'u-0', 0)
     table.record_crash('suspect', 'u-1', 0)
@@ -168,7 +168,7 @@
     assert table.standing(f'r-{MAX_QUARANTINED}', 0) is Standing.QUARANTINED
 
 
-def test_a_trial_that_nobody_ends_is_over_in_time():
+def test_unfinished_trial_times_out():
     trials = Trials()
     assert trials.try_begin('s', 'a', 0)
     assert not trials.try_begin('s', 'b', MAX_TRIAL_SECONDS / 2)
@@ -176,7 +176,7 @@
     assert trials.try_begin('s', 'b', MAX_TRIAL_SECONDS)
 
 
-def test_a_quarantine_stands_for_its_time():
+def test_quarantine_expires_after_its_time():
     table = CrashTable()
     for number in range(QUARANTINE_THRESHOLD):
         table.record_crash(CAUSE, f'u-{number}', 5)
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -1,13 +1,11 @@
-"""Let a request that ends upstreams end three of them and no more.
+"""Quarantine a request after it has crashed three upstreams.
 
-Seen: two requests reached upstreams 6 and 10 times more after three upstreams
-had ended under them, 11 and 15 in all; the pool was empty five times in 80 s.
-How: each came again with the same caller, target and body, at any entry, under
-a new attempt id. Each attempt ended two upstreams, as its stream was sent to a
-second one at once; four upstreams in half a second.
-Cause: what a request had done was known per attempt and per entry, so nothing
-bound it over the fleet and over time.
-Proof: the identities in the log lines of the sends that broke.
+Crashes were counted per attempt and per entry, so nothing limited a request
+that was retried with the same caller, target and body, at any entry, under a
+new attempt id. Each attempt crashed two upstreams, as its stream was sent to a
+second one at once: four upstreams in half a second. Two requests reached
+upstreams 6 and 10 more times after three crashes, 11 and 15 in all, and the
+pool was empty five times in 80 s.
 """
 
 import anyio
@@ -16,9 +14,9 @@
 from spanfall_standins.gateway.upstream import ends_under, events, whole
 
 DEADLY = b'deadly'
-#: Upstreams that may end before the request is known for it.
-KNOWN_AFTER = 3
-#: Pause between two attempts of the caller: less than a listing takes.
+#: Upstreams that crash before the request is quarantined.
+QUARANTINED_AFTER = 3
+#: Seconds between two attempts of the caller: less than a listing takes.
 PAUSE = 0.05
 
 
@@ -28,7 +26,7 @@
 
 
 async def send_again_and_again(world, gateways, path, attempts):
-    """Send the request to one entry after the other."""
+    """Send the request to each entry in turn."""
     answers = []
     for number in range(attempts):
         state = gateways[number % len(gateways)]
@@ -41,14 +39,14 @@
 @pytest.mark.parametrize(
     'path', ('/resume/1', '/stream/1', '/any/1', '/once/1')
 )
-def test_a_request_ends_three_upstreams(path):
+def test_request_crashes_at_most_three_upstreams(path):
     @in_world
     async def play(world):
         for _ in range(12):
             await world.add_upstream(ends_under(DEADLY, whole()))
         gateways = [await world.add_gateway() for _ in range(3)]
         answers = await send_again_and_again(world, gateways, path, 12)
-        assert len(ended(world)) == KNOWN_AFTER
+        assert len(ended(world)) == QUARANTINED_AFTER
         assert {answer.status for answer in answers[-3:]} == {502}
         assert all('retry-after' not in one.headers for one in answers[-3:])
         other = await ask(gateways[0], path, attempt='o', body=b'other')
@@ -58,8 +56,8 @@
 
 
 @in_world
-async def test_those_that_ran_beside_it_are_served(world):
-    """What breaks with the upstream is not taken for the cause."""
+async def test_requests_beside_the_cause_are_served(world):
+    """Requests that fail along with the cause are not quarantined."""
     behaviour = ends_under(DEADLY, events(1, 3))
     for _ in range(8):
         await world.add_upstream(behaviour)
@@ -87,4 +85,4 @@
                 tasks.start_soon(other, number)
                 await anyio.sleep(0.02)
     assert len(statuses) == 20
-    assert len(ended(world)) == KNOWN_AFTER
+    assert len(ended(world)) == QUARANTINED_AFTER
--- a/tests/test_gateway_demand.py
+++ b/tests/test_gateway_demand.py
@@ -1,4 +1,4 @@
-"""The need for engines: what callers offer, as a fading peak."""
+"""Estimate the need for engines from offered load, as a decaying peak."""
 
 from spanfall_core.gateway.known.configuration import EngineLimits
 from spanfall_core.gateway.known.engine_model import ReadingSpeed
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -1,4 +1,4 @@
-"""Grants of the home: exact counts, and entries that decide alone."""
+"""Grant upstreams at the home, and at entries that have no home."""
 
 from collections import Counter
 
@@ -30,7 +30,7 @@
 
 
 def grant_one(book, entry, number):
-    """Let the home choose for one request of an entry."""
+    """Choose and grant an upstream for one request of an entry."""
     choice = choose(
         UPSTREAMS,
         RoutingRequest(f'a{entry}{number}', 'north', prompt_tokens=9000),
@@ -43,14 +43,14 @@
     return upstream_id
 
 
-def test_requests_of_one_moment_are_spread():
-    """No entry has told of its own yet when the others ask."""
+def test_simultaneous_requests_are_spread():
+    """Grants count at once, before any entry has reported its load."""
     book = GrantBook()
     chosen = Counter(grant_one(book, str(place), 1) for place in range(8))
     assert set(chosen.values()) == {2}
 
 
-def test_a_grant_in_the_counts_counts_once():
+def test_reported_grant_counts_once():
     book = GrantBook()
     book.grant('e', Grant(1, 'u-0', 100))
     book.grant('e', Grant(2, 'u-1', 200))
@@ -59,7 +59,7 @@
     assert book.prefill == {'u-0': 100, 'u-1': 200}
 
 
-def test_a_grant_that_was_not_used_stops_to_count():
+def test_unused_grant_stops_counting():
     book = GrantBook()
     book.grant('e', Grant(1, 'u-0', 100))
     book.apply_report('e', EntryLoad({}, {}, seen=1), 0)
@@ -67,7 +67,7 @@
     assert not book.prefill
 
 
-def test_a_silent_entry_is_forgotten():
+def test_silent_entry_is_dropped():
     book = GrantBook()
     book.apply_report('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
     book.grant('e', Grant(1, 'u-1', 5))
@@ -84,7 +84,7 @@
 
 
 @given(STEPS)
-def test_sums_are_counts_and_later_grants(steps):
+def test_sums_are_reports_plus_later_grants(steps):
     book = GrantBook()
     numbers = Counter()
     loads = {}
@@ -106,8 +106,8 @@
 
 
 @in_world
-async def test_entries_share_what_the_home_knows(world):
-    """Two entries that ask at once do not take the same upstream."""
+async def test_entries_share_the_counts_of_the_home(world):
+    """Simultaneous requests of two entries get different upstreams."""
     home, other = await two_gateways(world)
     for _ in range(2):
         await world.add_upstream(whole())
@@ -126,8 +126,8 @@
 
 
 @in_world
-async def test_an_entry_decides_alone_without_a_home(world):
-    """The wait is bounded, and the next requests do not wait at all."""
+async def test_entry_chooses_locally_without_home(world):
+    """The first request waits a bounded time; the next ones do not wait."""
     await world.add_upstream(whole())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
@@ -152,7 +152,7 @@
 
 
 @in_world
-async def test_a_grant_of_what_is_gone_is_not_used(world):
+async def test_grant_of_removed_upstream_is_not_used(world):
     await world.add_upstream(whole())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
--- a/tests/test_gateway_limited_orders.py
+++ b/tests/test_gateway_limited_orders.py
@@ -1,4 +1,4 @@
-"""Orders count an upstream that names a limit as what it takes."""
+"""Count an upstream with a rate limit by the load that it accepts."""
 
 import pytest
 from gateway_world import SERVICE, ask, in_world
@@ -11,17 +11,17 @@
 from test_gateway_capacity import (
     PLACES,
     SCALING,
+    accept_all,
     listed,
     loaded,
-    note_all,
     plan,
 )
 
 RATES = st.floats(0, 100)
 
 
-def test_a_limit_costs_what_it_does_not_take():
-    """Four upstreams are to serve twelve a second, three each."""
+def test_limit_costs_the_load_it_rejects():
+    """Four upstreams have to serve twelve requests a second, three each."""
     assert capacity_lost_to_limits([1], 4, 12) == pytest.approx(2 / 3)
     assert capacity_lost_to_limits([0, 1.5, 3, 9], 4, 12) == pytest.approx(1.5)
     assert capacity_lost_to_limits([], 4, 12) == 0
@@ -43,7 +43,7 @@
 
 @in_world
 async def test_the_home_counts_each_request_that_asks(world):
-    """Refused ones too: what is offered counts, not what is served."""
+    """Refused requests count too: offered load matters, not served load."""
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
     upstream.says = {'takes-a-second': '0'}
@@ -56,28 +56,28 @@
 
 
 def reclaimable_in_force(peak, lost, now=0):
-    """Return the reclaimable ones that are ordered in each place."""
+    """Return the distinct counts of reclaimable upstreams in force."""
     orders = loaded(peak)
     orders.capacity_lost = lost
     serving = count_serving(listed(1, 0))
-    note_all(plan(orders, serving, now), orders, now)
+    accept_all(plan(orders, serving, now), orders, now)
     return {orders.in_force.get((place, True), 1) for place in PLACES}
 
 
-def test_room_for_a_lost_place_serves_for_limits():
-    """Four places run one each; two of four that are limited fit in that."""
+def test_loss_reserve_covers_limits():
+    """Four data centres run one each, which covers two limited ones."""
     assert reclaimable_in_force(2.3, 0) == {1}
     assert reclaimable_in_force(2.3, 1.6) == {1}
     assert reclaimable_in_force(2.3, 2.5) == {2}
 
 
-def test_what_limits_cost_is_not_kept_for_long():
+def test_capacity_lost_to_limits_is_not_held():
     orders = loaded(2.3)
     orders.capacity_lost = 2.5
     serving = count_serving(listed(1, 0))
-    note_all(plan(orders, serving), orders)
+    accept_all(plan(orders, serving), orders)
     orders.capacity_lost = 0
     later = SCALING.boot_seconds * SCALE_DOWN_BOOTS + 1
     serving = count_serving(listed(2, 0))
-    note_all(plan(orders, serving, later), orders, later)
+    accept_all(plan(orders, serving, later), orders, later)
     assert {orders.in_force[place, True] for place in PLACES} == {1}
--- a/tests/test_gateway_needs.py
+++ b/tests/test_gateway_needs.py
@@ -1,4 +1,4 @@
-"""What the fleet needs is known to all, and outlives all processes."""
+"""Share the need for upstreams with all entries, and store it."""
 
 from gateway_world import in_world
 from spanfall_node.gateway.store.needs_record import NEEDS_KEY
@@ -7,16 +7,16 @@
 
 
 @in_world
-async def test_entries_know_what_the_fleet_needs(world):
-    """Any of them may be the next home."""
+async def test_entries_receive_the_needs_of_the_fleet(world):
+    """Any entry may become the next home."""
     home, other = await two_gateways(world)
     home.needs = {'llm': 12.5}
     await wait_until(lambda: other.needs == {'llm': 12.5})
 
 
 @in_world
-async def test_the_need_outlives_all_processes(world):
-    """The home that follows a restart of all goes on with it."""
+async def test_needs_survive_restart_of_all_nodes(world):
+    """The home after a restart of all nodes restores the stored need."""
     home = await world.add_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
     home.needs = {'llm': 12.5}
@@ -30,7 +30,7 @@
 
 
 @in_world
-async def test_a_record_of_needs_that_is_none(world):
+async def test_invalid_needs_record_is_ignored(world):
     world.store.put(NEEDS_KEY, '[7]')
     home = await world.add_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
--- a/tests/test_gateway_order_patterns.py
+++ b/tests/test_gateway_order_patterns.py
@@ -1,8 +1,8 @@
-"""Hold orders against patterns of load and of losses, in virtual time.
+"""Check orders against patterns of load and of losses, in virtual time.
 
 Bounds are in seconds in which all answers are late (``late``) and in price of
-upstream seconds (``price``; one at the price of 1 for one second is 1). They
-are what the present policy reaches plus a quarter.
+upstream seconds (``price``: an upstream at a price of 1 costs 1 per second).
+They are the results of the present policy plus a quarter.
 """
 
 from dataclasses import replace
@@ -15,18 +15,18 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.demand import Demand, restore_demand
 
-#: What the operator runs before the system starts, and the seconds until
-#: there is traffic, as of the deployments.
+#: Upstreams that the operator runs before the system starts, and the seconds
+#: until there is traffic, as in the deployments.
 FOUND = 9
 LEAD = 12
 
 
 def full_after_lead(now):
-    """Give full load at once, after the lead."""
+    """Return full load from the end of the lead time on."""
     return float(now >= LEAD)
 
 
-def started(pattern=full_after_lead):
+def started_world(pattern=full_after_lead):
     world = FleetWorld(pattern)
     world.start(FOUND)
     world.run(LEAD)
@@ -34,51 +34,51 @@
 
 
 def test_a_cold_start_at_full_load():
-    """No answer is late, and the operator's upstreams are swapped by then."""
-    world = started()
+    """No answer is late, and the initial upstreams are replaced by then."""
+    world = started_world()
     assert count_kinds(world) == {'reclaimable': 12}
     world.run(20)
     assert world.late == 0
     assert world.reversals == 0
 
 
-def test_a_step_of_load_is_met_in_a_boot_time():
-    """Half the load for long, then all of it: no other one is ordered.
+def test_load_step_is_met_within_a_boot_time():
+    """Half the load, then all of it: no on-demand upstream is ordered.
 
-    A third of the engines is missing until those that are ordered have booted.
+    A third of the engines is missing until the ordered ones have booted.
     """
-    world = started(lambda now: 0.5 * ((now >= LEAD) + (now >= 60)))
+    world = started_world(lambda now: 0.5 * ((now >= LEAD) + (now >= 60)))
     world.run(70)
     assert world.late <= 4 / 3
     assert world.serving(reclaimable=False) == 0
     assert world.reversals == 0
 
 
-def test_a_wave_swings_no_counts():
-    """Callers come and go by 30% each 40 s, as those of the deployments."""
+def test_periodic_load_reverses_no_orders():
+    """The load varies by 30% with a period of 40 s, as in the deployments."""
 
     def wave(now):
         return full_after_lead(now) * (1 + 0.3 * sin(now * tau / 40))
 
-    world = started(wave)
+    world = started_world(wave)
     world.run(120)
     assert world.late <= 0.5
     assert world.reversals == 0
     assert len(world.sent) <= 40
 
 
-def test_noise_swings_no_counts():
-    """The load differs by a fifth from one quarter of a second to the next."""
+def test_noisy_load_reverses_no_orders():
+    """The load varies by a fifth between quarters of a second."""
     random = Random(1)
-    world = started(lambda now: (now >= LEAD) * random.uniform(0.8, 1.2))
+    world = started_world(lambda now: (now >= LEAD) * random.uniform(0.8, 1.2))
     world.run(60)
     assert world.reversals == 0
     assert world.late == 0
 
 
-def test_all_data_centres_go_in_a_dry_spell():
-    """All four go, each before the one before is to be had again."""
-    world = started()
+def test_all_data_centres_lost_during_a_shortage():
+    """Each data centre is lost before the previous one is available again."""
+    world = started_world()
     world.run(10)
     paid = world.price
     for place, pause in (('west', 6), ('east', 9), ('north', 5), ('south', 13)):
@@ -91,13 +91,14 @@
     assert world.reversals == 0
 
 
-def test_a_long_dry_spell_ends_no_bridge():
-    """Full of others, a data centre is not asked; that is no promise.
+def test_long_shortage_keeps_on_demand_upstreams():
+    """On-demand upstreams stay while reclaimable ones are unavailable.
 
-    Its refusal was forgotten after six seconds, what was wanted there counted
-    as about to boot, and two of five others went before the next loss.
+    A data centre full of on-demand upstreams gets no orders. Its refusal
+    expired after six seconds, its target counted as booting, and two of five
+    on-demand upstreams were stopped before the next loss.
     """
-    world = started()
+    world = started_world()
     world.run(2)
     losses = {'west': (6, 15), 'east': (11, 12), 'south': (16, 20)}
     for place, (pause, dry) in losses.items():
@@ -110,9 +111,9 @@
     assert world.reversals == 0
 
 
-def test_one_data_centre_lost_costs_one_other():
-    """The rest is enough for the load, one more stands for the next loss."""
-    world = started()
+def test_lost_data_centre_costs_one_on_demand():
+    """The rest carries the load; one upstream more covers the next loss."""
+    world = started_world()
     world.run(10)
     paid = world.price
     world.reclaim('south', dry=14)
@@ -123,9 +124,9 @@
 
 
 @pytest.mark.parametrize('after', [0.5, 3, 8])
-def test_a_home_lost_in_a_dry_spell(after):
-    """The next home sends nothing away that the load needs."""
-    world = started()
+def test_home_lost_during_a_shortage(after):
+    """The next home stops no upstream that the load needs."""
+    world = started_world()
     world.run(10)
     world.reclaim('west', dry=16)
     world.run(4)
@@ -138,11 +139,11 @@
     assert world.reversals == 0
 
 
-def test_what_was_there_is_replaced_at_once():
-    """The operator's first configuration comes seconds after upstreams.
+def test_initial_upstreams_are_replaced_at_once():
+    """Initial upstreams are replaced at the operator's first configuration.
 
-    Each second that 50 of them wait for their replacement costs as much as
-    280 reclaimable ones do.
+    It arrives seconds after the upstreams. Each second that 50 of them wait for
+    their replacement costs as much as 280 reclaimable ones do.
     """
     directory = Directory()
     rows = [
@@ -161,10 +162,12 @@
     assert not late.is_registration_complete(6)
 
 
-def test_a_new_home_goes_on_with_the_need():
-    """Three data centres were reclaimed while the home changed.
+def test_new_home_restores_the_need():
+    """A new home continues with the need that the previous one reported.
 
-    It learned the need anew: 24 of 48 engines at first, 55 six seconds later.
+    When three data centres were reclaimed during a change of the home, the new
+    one measured the need from zero: 24 of 48 engines at first, 55 six seconds
+    later.
     """
     known = Demand()
     for step in range(80):
@@ -177,7 +180,7 @@
     assert unknown.is_idle()
 
 
-def test_a_taken_over_need_fades_like_any_other():
+def test_restored_need_decays():
     known = restore_demand(48, 20)
     for step in range(400):
         known.record_need(12, 20 + step / 4)
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -1,4 +1,4 @@
-"""Keep what is sent again inside what the platform allows."""
+"""Keep retries within the limit of the platform."""
 
 from itertools import product
 
@@ -6,17 +6,17 @@
 from spanfall_core.gateway.known.spending import SLOT_SECONDS
 from spanfall_core.gateway.routing.retry_budget import RetryBudget, RetryLimits
 
-#: As of the deployments: a fifth of the requests, and 54 in any 10 s.
+#: As in the deployments: a fifth of the requests plus 54 in any 10 s.
 LIMITS = RetryLimits(ratio=0.2, allowance=54, window=10)
 ENTRIES = 7
-#: Requests a second of all entries together.
+#: Requests per second of all entries together.
 RATE = 110
 
 
 def play(seconds, fails_from):
-    """Send requests; from a moment on, each is to be sent again three times.
+    """Send requests, each with three retries from ``fails_from`` on.
 
-    Return the retries that were allowed, by their time.
+    Return the times of the allowed retries.
     """
     entries = [RetryBudget(LIMITS, ENTRIES) for _ in range(ENTRIES)]
     retries = []
@@ -29,7 +29,7 @@
     return retries
 
 
-def most_in_a_window(times):
+def max_in_a_window(times):
     return max(
         sum(1 for at in times if first <= at < first + LIMITS.window)
         for first in times
@@ -37,29 +37,29 @@
 
 
 @pytest.mark.parametrize('fails_from', [1, 5, 20])
-def test_all_upstreams_refuse_after_a_calm_time(fails_from):
-    """Credit of a calm time is not saved for the storm."""
+def test_total_refusal_stays_within_budget(fails_from):
+    """Credit from a time without failures does not accumulate."""
     retries = play(35, fails_from)
     allowed = LIMITS.ratio * RATE * LIMITS.window + LIMITS.allowance
-    assert most_in_a_window(retries) <= allowed
+    assert max_in_a_window(retries) <= allowed
     assert len(retries) > 100
 
 
-def test_an_entry_has_some_credit_at_once():
+def test_new_entry_has_credit():
     """The first requests of a process may fail too."""
     budget = RetryBudget(LIMITS, ENTRIES)
     allowed = [budget.try_spend('llm', 0) for _ in range(ENTRIES)]
     assert sum(allowed) == 5
 
 
-def test_services_have_budgets_of_their_own():
+def test_services_have_separate_budgets():
     budget = RetryBudget(LIMITS, ENTRIES)
     spent = product(('llm', 'desk'), range(5))
     assert all(budget.try_spend(service, 0) for service, _ in spent)
 
 
-def test_requests_never_retried_take_no_room():
-    """Nothing asks for the sum of a service whose sends all succeed."""
+def test_unused_budget_takes_bounded_memory():
+    """Counts expire even if a service never spends from its budget."""
     budget = RetryBudget(LIMITS, ENTRIES)
     for second in range(1000):
         budget.record_request('llm', second / 2)
--- a/tests/test_gateway_sends.py
+++ b/tests/test_gateway_sends.py
@@ -1,4 +1,4 @@
-"""Decide by what the end of a send proves, for each kind of route."""
+"""Decide by the outcome of a send, for each kind of route."""
 
 from itertools import product
 
@@ -45,7 +45,7 @@
     ('kind', 'outcome'),
     tuple(product((ONCE, STREAM, AGAIN, RESUMABLE), sorted(NOT_RUN_OUTCOMES))),
 )
-def test_what_did_not_run_is_sent_again(kind, outcome):
+def test_request_that_did_not_run_is_sent_again(kind, outcome):
     state = SendState(sends=1)
     assert next_step(outcome, kind, state, lambda: True) is NextStep.SEND_AGAIN
     left = next_step(outcome, kind, state, bool)
@@ -56,8 +56,8 @@
     ('kind', 'outcome'),
     tuple(product((ONCE, STREAM), sorted(MAY_HAVE_RUN))),
 )
-def test_what_may_have_run_once_is_not_sent_again(kind, outcome):
-    """Nor does it take a retry from those that may be sent again."""
+def test_possibly_run_request_is_not_repeated(kind, outcome):
+    """It also takes no retry from the budget."""
 
     def take_retry():
         raise AssertionError('no retry is to be taken')
@@ -69,14 +69,14 @@
 
 
 @pytest.mark.parametrize('outcome', sorted(MAY_HAVE_RUN))
-def test_repeats_stay_within_the_routes_bound(outcome):
+def test_retries_stay_within_the_route_limit(outcome):
     state = SendState(sends=1)
     steps = [next_step(outcome, AGAIN, state, lambda: True) for _ in range(2)]
     assert steps[0] is NextStep.SEND_AGAIN
     assert steps[1] is not NextStep.SEND_AGAIN
 
 
-def test_a_later_refusal_proves_nothing():
+def test_later_refusal_does_not_prove_not_run():
     state = SendState(sends=1)
     next_step(SendOutcome.BROKEN, AGAIN, state, lambda: True)
     step = next_step(SendOutcome.REFUSED, AGAIN, state, bool)
@@ -96,8 +96,8 @@
     ),
     st.integers(0, MAX_SENDS),
 )
-def test_not_run_is_true_of_all_sends(kind, outcomes, retries):
-    """Units come back for it, so no send may have run the request."""
+def test_answer_not_run_holds_for_all_sends(kind, outcomes, retries):
+    """Its units are returned, so no send may have run the request."""
     left = iter(range(retries))
     state = SendState()
 
--- a/tests/test_gateway_shortlist.py
+++ b/tests/test_gateway_shortlist.py
@@ -1,8 +1,9 @@
-"""Choose among hundreds of upstreams without asking each.
+"""Choose among hundreds of upstreams without estimating each.
 
 The load is that of a service whose upstreams are half full: a third of the
-prompts long, most with a part that others share. Both ways of choosing play
-the same arrivals; what one choice misses, the next one finds.
+prompts are long, and most have a part that others share. The shortlist and
+the full search get the same arrivals. An upstream that one choice misses can
+be found by the next one.
 """
 
 from heapq import heappop, heappush
@@ -19,18 +20,18 @@
 from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.shortlist import FULL_SEARCH_LIMIT
 
-#: Part of the expected time that the short search may lose.
-MOST_LOST = 0.02
+#: Fraction of the expected time that the shortlist may lose.
+MAX_LOSS = 0.02
 SLOTS = 16
-#: Requests a second for each upstream; each runs for a second or so.
+#: Requests per second for each upstream; each runs for about a second.
 RATE = 5
 WARM_UP = 500
-#: Where the limit stands that decides between both ways.
+#: Path of the limit that selects between the shortlist and the full search.
 SEARCH_LIMIT = 'spanfall_core.gateway.routing.balance.FULL_SEARCH_LIMIT'
 
 
 def listed(count):
-    """Return so many upstreams of one service in six data centres."""
+    """Return ``count`` upstreams of one service in six data centres."""
     directory = Directory()
     rows = [
         ListedUpstream(f'u-{at}', 'llm', '', f'z{at % 6}', SLOTS, born=at)
@@ -40,7 +41,7 @@
     return directory.serving('llm')
 
 
-def prompt(draw, number):
+def prompt_parts(draw, number):
     """Return the parts of one prompt."""
     shared = draw.randrange(200, 9000) if draw.random() < 0.3 else 200
     return (
@@ -51,7 +52,7 @@
 
 
 def expected_seconds(count, requests):
-    """Return the mean of what the chosen upstreams were expected to take."""
+    """Return the mean expected seconds of the chosen upstreams."""
     rows, draw = listed(count), Random(3)
     loads, prompts = Loads(), PromptHistory()
     rate = prompts.speed('llm').rate
@@ -64,7 +65,7 @@
                 loads.first_token(lifetime, prefill)
             else:
                 loads.end(lifetime)
-        parts = prompt(draw, number)
+        parts = prompt_parts(draw, number)
         tokens = sum(part.tokens for part in parts)
         ask = RoutingRequest(
             str(number), f'z{draw.randrange(6)}', parts, tokens
@@ -84,18 +85,19 @@
 
 
 @pytest.mark.parametrize('count', [50, 99, 300])
-def test_the_short_search_loses_next_to_nothing(count, monkeypatch):
+def test_shortlist_is_close_to_full_search(count, monkeypatch):
     short = expected_seconds(count, 1200)
     monkeypatch.setattr(SEARCH_LIMIT, count)
     full = expected_seconds(count, 1200)
-    assert short <= full * (1 + MOST_LOST)
+    assert short <= full * (1 + MAX_LOSS)
 
 
-def test_the_few_that_hold_a_prompt_are_asked():
-    """Nearly all hold the part that all share, two the one of the session.
+def test_few_holders_of_a_prompt_are_estimated():
+    """The holders of the last shared part are estimated first.
 
-    Compared among them by their load alone, the two were left out, and four
-    in ten more tokens of shared parts were read again.
+    All upstreams hold the part that all prompts share, and two hold that of the
+    session. Compared among all of them by load alone, the two were left out,
+    and four in ten more tokens of shared parts were read again.
     """
     rows = listed(99)
     loads, prompts = Loads(), PromptHistory()
@@ -112,8 +114,8 @@
     assert choice.prefill == 300
 
 
-def test_all_that_were_not_tried_are_found():
-    """The short search may come to its end; the full one then answers."""
+def test_every_untried_upstream_is_found():
+    """The full search takes over when the shortlist has no candidate left."""
     rows = listed(FULL_SEARCH_LIMIT * 3)
     loads, prompts = Loads(), PromptHistory()
     tried = set()
@@ -126,7 +128,7 @@
     assert choose(rows, ask, loads, prompts, 0) is None
 
 
-def test_an_upstream_that_is_new_is_found_at_once():
+def test_new_upstream_is_found_at_once():
     rows = listed(FULL_SEARCH_LIMIT * 2)
     loads, prompts = Loads(), PromptHistory()
     for row in rows:
@@ -138,8 +140,8 @@
 
 
 @given(st.integers(1, 2 * FULL_SEARCH_LIMIT), st.data())
-def test_what_is_closed_to_a_request_gets_none(count, data):
-    """Tried, avoided or withheld: whichever is left is found."""
+def test_ineligible_upstreams_are_not_chosen(count, data):
+    """An upstream that is not tried, avoided or withheld is found."""
     rows = listed(count)
     names = st.frozensets(st.sampled_from([row.lifetime for row in rows]))
     tried, avoided, withheld = (data.draw(names) for _ in range(3))
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -1,4 +1,4 @@
-"""Keep long prompts away from short ones."""
+"""Route long prompts to other upstreams than short ones."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,7 +18,7 @@
 
 
 def seen_sizes():
-    """Return sizes after short and long prompts of the same work."""
+    """Return sizes after short and long prompts of equal total work."""
     sizes = PromptSizes()
     for _ in range(100):
         sizes.record_prompt(LONG, 0)
@@ -28,7 +28,7 @@
 
 
 @given(st.lists(st.integers(1, 200_000), max_size=50), st.integers(1, 100))
-def test_places_grow_with_length(lengths, seconds):
+def test_positions_grow_with_length(lengths, seconds):
     sizes = PromptSizes()
     for number, length in enumerate(lengths):
         sizes.record_prompt(length, number * seconds)
@@ -46,7 +46,7 @@
     assert 0.65 < sizes.position(LONG) < 0.8
 
 
-def test_lengths_are_forgotten():
+def test_old_lengths_lose_weight():
     sizes = seen_sizes()
     before = sizes.position(SHORT)
     for now in range(1, 100):
@@ -55,7 +55,7 @@
 
 
 def test_short_prompts_keep_away_from_long_ones():
-    """Idle upstreams: only the length decides."""
+    """Among idle upstreams, only the length decides."""
     prompts = PromptHistory(sizes=seen_sizes())
     chosen = {
         tokens: {
--- a/tests/test_gateway_slow_signs.py
+++ b/tests/test_gateway_slow_signs.py
@@ -1,9 +1,9 @@
-"""Let a request that ends upstreams end no more where the ends show late.
+"""Stop a request that crashes upstreams when crashes are detected late.
 
-Seen: an address that still took connections and closed them, as a supervisor
-holds the port; a request that came again each 0.3 s ended 28 of 28 upstreams.
-Cause: an end was known by one sign only, that the address refuses at once.
-Proof: with suspicion ahead of certainty the same course ends three.
+Only a refused connection counted as a crash. Where a supervisor holds the port
+of a crashed upstream, the address still accepts connections and closes them:
+a request that was retried every 0.3 s crashed 28 of 28 upstreams. Suspected
+crashes now hold it back after three.
 """
 
 import anyio
@@ -16,11 +16,11 @@
 from support import wait_until
 
 DEADLY = b'deadly'
-KNOWN_AFTER = 3
+QUARANTINED_AFTER = 3
 #: Seconds between two attempts of the caller.
 PAUSE = 0.1
 ATTEMPTS = 10
-#: Seconds after which a caller leaves a stream that says nothing.
+#: Seconds after which a caller abandons an attempt without an answer.
 CALLER_TIMEOUT = 1.5
 
 
@@ -30,13 +30,13 @@
 
 
 def standing(state, path):
-    """Return how a node may send the request."""
+    """Return the standing of the request at a node."""
     identity = request_identity('', 'depot.example', 'POST', path, DEADLY)
     return state.crashes.standing(identity, state.timers.now())
 
 
 async def send_again_and_again(gateways, path, attempts=ATTEMPTS):
-    """Send the request to one entry after the other; leave when it hangs."""
+    """Send the request to each entry in turn; abandon attempts that hang."""
     answers = []
     for number in range(attempts):
         state = gateways[number % len(gateways)]
@@ -49,14 +49,14 @@
 
 @pytest.mark.parametrize('path', ('/resume/1', '/any/1', '/once/1'))
 @pytest.mark.parametrize('after_end', (AfterEnd.CLOSES, AfterEnd.SILENT))
-def test_slow_signs_end_three_upstreams(path, after_end):
+def test_late_signs_crash_at_most_three_upstreams(path, after_end):
     @in_world
     async def play(world):
         for _ in range(9):
             await world.add_upstream(ends_under(DEADLY, whole()), after_end)
         gateways = [await world.add_gateway() for _ in range(2)]
         await send_again_and_again(gateways, path)
-        assert len(ended(world)) == KNOWN_AFTER
+        assert len(ended(world)) == QUARANTINED_AFTER
         assert all(
             standing(state, path) is not Standing.QUARANTINED
             for state in gateways
@@ -72,7 +72,7 @@
         later = await world.add_gateway()
         answers = await send_again_and_again([later], path, 2)
         assert {answer.status for answer in answers} == {502}
-        assert len(ended(world)) == KNOWN_AFTER
+        assert len(ended(world)) == QUARANTINED_AFTER
         other = await ask(later, path, attempt='o', body=b'other')
         assert other.status == 200
 
