--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crashes.py
@@ -270,8 +270,8 @@
         )
 
 
-def _evict_oldest(rows: dict[Key, Stored], most: int) -> None:
-    while len(rows) > most:
+def _evict_oldest(rows: dict[Key, Stored], max_count: int) -> None:
+    while len(rows) > max_count:
         rows.pop(next(iter(rows)))
 
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
@@ -232,7 +232,7 @@
         (data_centre, False), serving.on_demand[data_centre]
     )
     room = scaling.most - max(ordered, serving.on_demand[data_centre])
-    reclaimable = Order(
+    reclaimable_order = Order(
         target.service,
         data_centre,
         reclaimable=True,
@@ -247,10 +247,10 @@
         # A full data centre accepts no reclaimable upstream until another one
         # has left. While they are scarce, no room is made for them.
         keep = min(keep, ordered - 1)
-    on_demand = Order(
+    on_demand_order = Order(
         target.service,
         data_centre,
         reclaimable=False,
         count=max(0, keep),
     )
-    return [on_demand, reclaimable]
+    return [on_demand_order, reclaimable_order]
--- a/tests/test_gateway_capacity.py
+++ b/tests/test_gateway_capacity.py
@@ -23,22 +23,26 @@
     record_refused,
 )
 
-PLACES = {'north': 1.0, 'south': 0.8, 'east': 1.2, 'west': 0.9}
-SCALING = Scaling(1, 5, boot_seconds=4, reclaimable_price=0.2, prices=PLACES)
+DATA_CENTRES = {'north': 1.0, 'south': 0.8, 'east': 1.2, 'west': 0.9}
+SCALING = Scaling(
+    1, 5, boot_seconds=4, reclaimable_price=0.2, prices=DATA_CENTRES
+)
 
 
 def listed(reclaimable, on_demand):
     """Return rows with these counts of each kind in each data centre."""
     return [
         ListedUpstream(
-            f'{place}-{number}',
+            f'{data_centre}-{number}',
             'llm',
             '',
-            place,
+            data_centre,
             slots=32,
             reclaimable=number < reclaimable,
         )
-        for place, number in product(PLACES, range(reclaimable + on_demand))
+        for data_centre, number in product(
+            DATA_CENTRES, range(reclaimable + on_demand)
+        )
     ]
 
 
@@ -66,7 +70,10 @@
 
 
 def on_demand_in_force(orders, before=0):
-    counts = (orders.in_force.get((place, False), before) for place in PLACES)
+    counts = (
+        orders.in_force.get((data_centre, False), before)
+        for data_centre in DATA_CENTRES
+    )
     return sum(counts)
 
 
@@ -95,10 +102,10 @@
     accept_all(plan(orders, count_serving(listed(0, 4)), 5), orders, 5)
     # Each data centre keeps one on-demand upstream, which leaves room for four.
     planned = as_rows(plan(orders, count_serving(listed(0, 1)), 9))
-    assert {planned[place, True] for place in PLACES} == {4}
+    assert {planned[data_centre, True] for data_centre in DATA_CENTRES} == {4}
     accept_all(plan(orders, count_serving(listed(4, 1)), 14), orders, 14)
     planned = as_rows(plan(orders, count_serving(listed(4, 0)), 16))
-    assert {planned[place, True] for place in PLACES} == {5}
+    assert {planned[data_centre, True] for data_centre in DATA_CENTRES} == {5}
 
 
 def test_idle_fleet_is_replaced_at_once():
@@ -128,16 +135,18 @@
     orders = loaded(4)
     accept_all(plan(orders, count_serving(listed(2, 0))), orders)
     orders.demand.peak = 12
-    there = count_serving(listed(2, 0))
-    accept_all(plan(orders, there, 1), orders, 1)
-    assert {orders.in_force[place, True] for place in PLACES} == {4}
-    accept_all(plan(orders, there, 1.25), orders, 1.25)
+    present = count_serving(listed(2, 0))
+    accept_all(plan(orders, present, 1), orders, 1)
+    assert {
+        orders.in_force[data_centre, True] for data_centre in DATA_CENTRES
+    } == {4}
+    accept_all(plan(orders, present, 1.25), orders, 1.25)
     assert on_demand_in_force(orders) == 0
 
 
 def test_unneeded_on_demand_upstreams_stop():
     planned = as_rows(plan(loaded(6), count_serving(listed(3, 1))))
-    assert {planned[place, False] for place in PLACES} == {0}
+    assert {planned[data_centre, False] for data_centre in DATA_CENTRES} == {0}
 
 
 def test_other_data_centres_cover_a_lost_one():
@@ -165,43 +174,54 @@
 def test_second_loss_is_covered_ahead():
     """During a shortage, the loss of one more data centre is covered."""
     orders = loaded(9)
-    there = count_serving(listed(4, 0))
+    present = count_serving(listed(4, 0))
     assert not any(
-        as_rows(plan(orders, there)).get((place, False), 0) for place in PLACES
+        as_rows(plan(orders, present)).get((data_centre, False), 0)
+        for data_centre in DATA_CENTRES
     )
-    for place in PLACES:
-        orders.refused_until[place] = 3
+    for data_centre in DATA_CENTRES:
+        orders.refused_until[data_centre] = 3
     one_lost = listed(4, 0)[4:]
     planned = as_rows(plan(orders, count_serving(one_lost)))
-    assert sum(planned.get((place, False), 0) for place in PLACES) == 0
+    assert (
+        sum(
+            planned.get((data_centre, False), 0) for data_centre in DATA_CENTRES
+        )
+        == 0
+    )
     two_lost = listed(4, 0)[8:]
     planned = as_rows(plan(orders, count_serving(two_lost)))
-    assert sum(planned.get((place, False), 0) for place in PLACES) == 4
+    assert (
+        sum(
+            planned.get((data_centre, False), 0) for data_centre in DATA_CENTRES
+        )
+        == 4
+    )
 
 
 def test_lost_upstreams_are_ordered_again_at_once():
     orders = loaded(6)
-    there = count_serving(listed(3, 0))
-    for order in plan(orders, there):
+    present = count_serving(listed(3, 0))
+    for order in plan(orders, present):
         record_accepted(order, orders, 0)
-    assert not plan(orders, there, 1)
+    assert not plan(orders, present, 1)
     lost = count_serving(listed(3, 0)[3:])
     again = as_rows(plan(orders, lost, 1))
-    assert [place for place, kind in again if kind] == ['north']
+    assert [data_centre for data_centre, kind in again if kind] == ['north']
 
 
 def test_backlog_is_no_lasting_need():
     engine = EngineLimits(slots=10, cache_tokens=1)
     speed = ReadingSpeed()
-    jam, full = OfferedLoad(running=300), OfferedLoad(running=30)
-    waiting = needed_upstreams(engine, jam, speed, present=3)
+    backlog, full = OfferedLoad(running=300), OfferedLoad(running=30)
+    waiting = needed_upstreams(engine, backlog, speed, present=3)
     assert waiting == needed_upstreams(engine, full, speed, present=3)
 
 
 def test_small_changes_stop_no_upstreams():
     """A need that varies by one must not start and stop upstreams."""
     orders = loaded(12)
-    orders.refused_until = dict.fromkeys(PLACES, 60)
+    orders.refused_until = dict.fromkeys(DATA_CENTRES, 60)
     reclaimable = Counter(north=4, east=4, south=2, west=1)
     serving = ServingCounts(reclaimable, Counter(south=3, west=2))
     counts = []
@@ -209,8 +229,11 @@
         orders.demand.peak = 12 + step % 2
         for order in plan(orders, serving, step / 4):
             record_accepted(order, orders, step / 4)
-        bridge = (orders.in_force.get((place, False), 0) for place in PLACES)
-        counts.append(sum(bridge))
+        on_demand = (
+            orders.in_force.get((data_centre, False), 0)
+            for data_centre in DATA_CENTRES
+        )
+        counts.append(sum(on_demand))
     assert set(counts[1:]) == {counts[-1]}
     assert counts[-1] == 4
 
@@ -222,8 +245,8 @@
     second.
     """
     orders = loaded(12)
-    orders.refused_until = dict.fromkeys(PLACES, 60)
-    on_demand = dict.fromkeys(PLACES, 3) | {'south': 5, 'west': 5}
+    orders.refused_until = dict.fromkeys(DATA_CENTRES, 60)
+    on_demand = dict.fromkeys(DATA_CENTRES, 3) | {'south': 5, 'west': 5}
     serving = ServingCounts(Counter(), Counter(on_demand))
     counts = set()
     for step in range(8):
@@ -241,8 +264,8 @@
     A third of them were stopped and replaced by on-demand upstreams.
     """
     orders = loaded(8)
-    there = count_serving(listed(3, 0))
-    accept_all(plan(orders, there), orders)
+    present = count_serving(listed(3, 0))
+    accept_all(plan(orders, present), orders)
     orders.demand.peak = 4
     lost = count_serving(listed(3, 0)[3:])
     for now in range(1, 30):
@@ -251,7 +274,7 @@
     assert orders.in_force['south', True] == 3
     orders.refused_until = {}
     for later in range(31, 45):
-        accept_all(plan(orders, there, later), orders, later)
+        accept_all(plan(orders, present, later), orders, later)
     assert orders.in_force['south', True] == 2
 
 
@@ -260,21 +283,29 @@
     orders = loaded(14)
     for cheap in ('south', 'west'):
         orders.in_force[cheap, False] = 2
-    for gone in PLACES:
-        here = Counter(dict.fromkeys(PLACES, 3))
-        here[gone] = 1
-        serving = ServingCounts(here, Counter(south=2, west=2))
+    for short in DATA_CENTRES:
+        reclaimable = Counter(dict.fromkeys(DATA_CENTRES, 3))
+        reclaimable[short] = 1
+        serving = ServingCounts(reclaimable, Counter(south=2, west=2))
         planned = as_rows(plan(orders, serving))
-        kept = [planned.get((place, False), 2) for place in ('south', 'west')]
+        kept = [
+            planned.get((data_centre, False), 2)
+            for data_centre in ('south', 'west')
+        ]
         assert kept == [2, 2]
 
 
 def test_no_reclaimable_price_means_on_demand():
     """Run a service without a reclaimable price on on-demand upstreams."""
-    scaling = Scaling(1, 5, 4, reclaimable_price=0, prices=PLACES)
+    scaling = Scaling(1, 5, 4, reclaimable_price=0, prices=DATA_CENTRES)
     serving = count_serving(listed(0, 1))
     planned = as_rows(plan_orders('llm', scaling, loaded(7), serving, 0))
-    assert sum(planned.get((place, False), 1) for place in PLACES) == 7
+    assert (
+        sum(
+            planned.get((data_centre, False), 1) for data_centre in DATA_CENTRES
+        )
+        == 7
+    )
     assert not any(kind for _, kind in planned)
 
 
@@ -289,7 +320,9 @@
     assert all(order.reclaimable for order in late if order.count == 2)
 
 
-COUNTS = st.dictionaries(st.sampled_from(sorted(PLACES)), st.integers(0, 5))
+COUNTS = st.dictionaries(
+    st.sampled_from(sorted(DATA_CENTRES)), st.integers(0, 5)
+)
 
 
 @given(COUNTS, COUNTS, st.floats(0, 60), st.integers(0, 20))
@@ -299,5 +332,5 @@
     for order in plan(orders, serving):
         assert 0 <= order.count <= SCALING.most
         if order.reclaimable:
-            there = serving.on_demand[order.data_centre]
-            assert order.count + there <= max(SCALING.most, there)
+            present = serving.on_demand[order.data_centre]
+            assert order.count + present <= max(SCALING.most, present)
--- a/tests/test_gateway_crash_spread.py
+++ b/tests/test_gateway_crash_spread.py
@@ -107,11 +107,11 @@
     for number in range(3):
         home.note_end('other', f'u-{number}', 0)
         home.table.clear('other')
-    told = home.changed
+    changed = home.changed
     for doubted in range(3):
         home.note_doubt(IDENTITY, f'u-{doubted}', 0, is_strong=True)
     assert home.standing(IDENTITY, 0) is Standing.QUARANTINED
-    assert told.is_set()
+    assert changed.is_set()
 
 
 def test_next_trial_begins_after_settle_time():
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -46,7 +46,7 @@
 def test_simultaneous_requests_are_spread():
     """Grants count at once, before any entry has reported its load."""
     book = GrantBook()
-    chosen = Counter(grant_one(book, str(place), 1) for place in range(8))
+    chosen = Counter(grant_one(book, str(number), 1) for number in range(8))
     assert set(chosen.values()) == {2}
 
 
--- a/tests/test_gateway_limited_orders.py
+++ b/tests/test_gateway_limited_orders.py
@@ -9,7 +9,7 @@
 from spanfall_core.gateway.orders.orders import count_serving
 from spanfall_standins.gateway.upstream import whole
 from test_gateway_capacity import (
-    PLACES,
+    DATA_CENTRES,
     SCALING,
     accept_all,
     listed,
@@ -61,7 +61,10 @@
     orders.capacity_lost = lost
     serving = count_serving(listed(1, 0))
     accept_all(plan(orders, serving, now), orders, now)
-    return {orders.in_force.get((place, True), 1) for place in PLACES}
+    return {
+        orders.in_force.get((data_centre, True), 1)
+        for data_centre in DATA_CENTRES
+    }
 
 
 def test_loss_reserve_covers_limits():
@@ -80,4 +83,6 @@
     later = SCALING.boot_seconds * SCALE_DOWN_BOOTS + 1
     serving = count_serving(listed(2, 0))
     accept_all(plan(orders, serving, later), orders, later)
-    assert {orders.in_force[place, True] for place in PLACES} == {1}
+    assert {
+        orders.in_force[data_centre, True] for data_centre in DATA_CENTRES
+    } == {1}
