--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
@@ -69,7 +69,7 @@
     """
     row = directory.rows.get(lifetime)
     if row is None:
-        return directory.proved_at > doubt.since
+        return directory.confirmed_at > doubt.since
     return directory.is_replaced(row)
 
 
@@ -82,7 +82,7 @@
 ) -> bool:
     """Tell whether an entry outlived a doubt, or began to leave in it."""
     row = directory.rows.get(lifetime)
-    is_listed = directory.proved_at - doubt.since >= patience
+    is_listed = directory.confirmed_at - doubt.since >= patience
     if row is not None and (row.is_leaving or is_listed and row.is_serving):
         return True
     return now - doubt.since >= LONGEST_DOUBT
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/backoffs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/backoffs.py
@@ -9,7 +9,7 @@
 
 #: Avoided upstreams that a question to the home names, the latest; an entry
 #: uses no grant for the others.
-MOST_NAMED = 64
+MAX_AVOIDED_UPSTREAMS = 64
 
 
 @dataclass(slots=True)
@@ -19,35 +19,35 @@
     A back-off is no failure: after it the upstream is served as before.
     """
 
-    _until: dict[Lifetime, float] = field(default_factory=dict)
+    _ends_at: dict[Lifetime, float] = field(default_factory=dict)
     #: When the first of them ends.
-    _first_end: float = float('inf')
+    _earliest_end: float = float('inf')
 
-    def note(self, lifetime: Lifetime, seconds: float, now: float) -> None:
+    def record(self, lifetime: Lifetime, seconds: float, now: float) -> None:
         """Note that an upstream wants nothing for so long from now."""
-        until = max(now + seconds, self._until.pop(lifetime, now))
-        self._until[lifetime] = until
-        self._first_end = min(self._first_end, until)
+        ends_at = max(now + seconds, self._ends_at.pop(lifetime, now))
+        self._ends_at[lifetime] = ends_at
+        self._earliest_end = min(self._earliest_end, ends_at)
 
     def active(self, now: float) -> AbstractSet[Lifetime]:
         """Return the upstreams that want nothing now, the latest last."""
-        if now >= self._first_end:
-            self._until = {
-                lifetime: until
-                for lifetime, until in self._until.items()
-                if until > now
+        if now >= self._earliest_end:
+            self._ends_at = {
+                lifetime: ends_at
+                for lifetime, ends_at in self._ends_at.items()
+                if ends_at > now
             }
-            ends = self._until.values()
-            self._first_end = min(ends, default=float('inf'))
-        return self._until.keys()
+            ends = self._ends_at.values()
+            self._earliest_end = min(ends, default=float('inf'))
+        return self._ends_at.keys()
 
-    def named(self, now: float) -> frozenset[Lifetime]:
+    def newest(self, now: float) -> frozenset[Lifetime]:
         """Return those of them that the home is told with a question."""
         if not self.active(now):
             return frozenset()
-        return frozenset(islice(reversed(self._until), MOST_NAMED))
+        return frozenset(islice(reversed(self._ends_at), MAX_AVOIDED_UPSTREAMS))
 
-    def first_end(
+    def seconds_until_first_end(
         self,
         lifetimes: Iterable[Lifetime],
         now: float,
@@ -57,6 +57,6 @@
         None: none of those upstreams asked for one.
         """
         avoided = self.active(now)
-        ends = (self._until[one] for one in lifetimes if one in avoided)
+        ends = (self._ends_at[one] for one in lifetimes if one in avoided)
         first = min(ends, default=None)
         return None if first is None else first - now
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/configuration.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/configuration.py
@@ -58,8 +58,10 @@
         sums = list(accumulate(share.weight for share in self.shares))
         if len(sums) == 1 or not sums[-1]:
             return self.shares[0].service
-        point = xxh3_64_intdigest(attempt_id.encode()) % sums[-1]
-        chosen = next(place for place, top in enumerate(sums) if point < top)
+        hashed = xxh3_64_intdigest(attempt_id.encode()) % sums[-1]
+        chosen = next(
+            index for index, bound in enumerate(sums) if hashed < bound
+        )
         return self.shares[chosen].service
 
 
@@ -67,8 +69,8 @@
 class Scaling:
     """Bound the upstreams of a service in one data centre."""
 
-    least: int
-    most: int
+    min_upstreams: int
+    max_upstreams: int
     boot_seconds: float
     #: Cost of a reclaimable upstream as a share of another's; 0: none to have.
     reclaimable_price: float = 0
@@ -82,7 +84,7 @@
 
     slots: int
     cache_tokens: int
-    can_move: bool = False
+    supports_kv_transfer: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/counting.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/counting.py
@@ -21,13 +21,13 @@
             total.pop(key, None)
 
 
-def less(
+def subtract_counts(
     counts: Mapping[Key, int],
     part: Mapping[Key, int],
 ) -> dict[Key, int]:
     """Return the differences that are not zero."""
     return {
-        key: left
+        key: difference
         for key, count in counts.items()
-        if (left := count - part.get(key, 0))
+        if (difference := count - part.get(key, 0))
     }
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/directory.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/directory.py
@@ -19,14 +19,14 @@
     name_lifetime,
 )
 from spanfall_core.gateway.known.listed import ListedUpstream
-from spanfall_core.gateway.known.timelines import WRITTEN_AGAIN_SECONDS
+from spanfall_core.gateway.known.timelines import REWRITE_SECONDS
 
 #: Lifetimes remembered as over; a listing that is late by more is not seen.
-REMEMBERED_ENDS = 4096
+MAX_ENDED_LIFETIMES = 4096
 #: Bits of a digest, so that any codec carries it.
 DIGEST_BITS = 0xFFFFFFFFFFFF
 #: No upstream, where nobody keeps what they say.
-NONE_LEAVING: AbstractSet[Lifetime] = frozenset()
+NO_LIFETIMES: AbstractSet[Lifetime] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        said_leaving: AbstractSet[Lifetime] = NONE_LEAVING,
+        said_leaving: AbstractSet[Lifetime] = NO_LIFETIMES,
     ) -> None:
         """Start with no upstream known.
 
@@ -53,28 +53,28 @@
         self._said_leaving = said_leaving
         self.revision = 0
         #: Start of the newest read that showed these rows to be the newest.
-        self.proved_at = float('-inf')
+        self.confirmed_at = float('-inf')
         #: Digest of the rows: equal where nodes know the same upstreams.
         self.digest = 0
         self.rows: dict[Lifetime, ListedUpstream] = {}
         #: Whether these rows differ from those of the node that told changes
         #: of them, so that all have to be told.
-        self.is_apart = False
+        self.has_diverged = False
         #: Lifetimes that are over, oldest first, and whose they are.
         self._ended: dict[Lifetime, str] = {}
         #: Those listed as leaving: a copy that the store was restored from may
         #: list them as they were before.
-        self._left: set[Lifetime] = set()
+        self._seen_leaving: set[Lifetime] = set()
         #: The latest start that is known of each upstream.
-        self._born: dict[str, int] = {}
+        self._latest_start: dict[str, int] = {}
         self._by_service: dict[str, list[ListedUpstream]] = {}
         #: Lifetimes that are listed at each address.
-        self._at_address: Counter[str] = Counter()
+        self._address_counts: Counter[str] = Counter()
         #: When another upstream of each service was last listed.
-        self._grown_at: dict[str, float] = {}
+        self._last_added_at: dict[str, float] = {}
         #: Revision of the listing that changed each row or had it no more.
-        self._changed: dict[Lifetime, int] = {}
-        self._removed: dict[Lifetime, int] = {}
+        self._changed_in: dict[Lifetime, int] = {}
+        self._removed_in: dict[Lifetime, int] = {}
 
     def apply(
         self,
@@ -94,29 +94,29 @@
             return ()
         before = self.rows
         self.revision = revision
-        found = self._newest(listed, unusable)
-        lapsed = self._lapsed(found, now, outage_ended)
+        found = self._current_rows(listed, unusable)
+        retained = self._retained_rows(found, now, outage_ended)
         # What is kept beyond the listing no change since it would remove.
-        self.is_apart = bool(lapsed)
-        self.rows = found | lapsed
+        self.has_diverged = bool(retained)
+        self.rows = found | retained
         changed = tuple(
             row
             for row in before.values()
             if not row.is_leaving and self._is_ending(row.lifetime)
         )
         for gone in before.keys() - self.rows.keys():
-            self._note_ended(gone, before[gone].upstream_id)
-            self._changed.pop(gone, None)
-            self._removed[gone] = revision
+            self._record_ended(gone, before[gone].upstream_id)
+            self._changed_in.pop(gone, None)
+            self._removed_in[gone] = revision
         for key, row in self.rows.items():
             if before.get(key) != row:
-                self._changed[key] = revision
+                self._changed_in[key] = revision
             if key not in before:
-                self._grown_at[row.service] = now
+                self._last_added_at[row.service] = now
         self._index()
         return changed
 
-    def _newest(
+    def _current_rows(
         self,
         listed: Iterable[ListedUpstream],
         unusable: Collection[str],
@@ -129,32 +129,34 @@
         found: dict[Lifetime, ListedUpstream] = {}
         paused = set(unusable)
         for row in listed:
-            if is_earlier(row.born, self._born.get(row.upstream_id)):
+            if is_earlier(row.born, self._latest_start.get(row.upstream_id)):
                 paused.add(row.upstream_id)
                 continue
             if row.born is not None:
-                self._born[row.upstream_id] = row.born
+                self._latest_start[row.upstream_id] = row.born
             if row.lifetime not in self._ended:
-                found[row.lifetime] = self._with_word(self._as_it_left(row))
+                found[row.lifetime] = self._with_statement(
+                    self._with_past_leaving(row)
+                )
         paused -= {usable.upstream_id for usable in found.values()}
-        return found | self._pause(paused) if paused else found
+        return found | self._paused_rows(paused) if paused else found
 
-    def _as_it_left(self, row: ListedUpstream) -> ListedUpstream:
+    def _with_past_leaving(self, row: ListedUpstream) -> ListedUpstream:
         """Return a row that leaves if it was ever listed as leaving."""
         if row.leaving:
-            self._left.add(row.lifetime)
-        elif row.lifetime in self._left:
+            self._seen_leaving.add(row.lifetime)
+        elif row.lifetime in self._seen_leaving:
             return replace(row, leaving=True)
         return row
 
-    def _with_word(self, row: ListedUpstream) -> ListedUpstream:
+    def _with_statement(self, row: ListedUpstream) -> ListedUpstream:
         """Return a row with what its upstream said itself."""
-        said = row.lifetime in self._said_leaving
-        if said == row.said_leaving:
+        announced = row.lifetime in self._said_leaving
+        if announced == row.said_leaving:
             return row
-        return replace(row, said_leaving=said)
+        return replace(row, said_leaving=announced)
 
-    def _pause(self, paused: set[str]) -> dict[Lifetime, ListedUpstream]:
+    def _paused_rows(self, paused: set[str]) -> dict[Lifetime, ListedUpstream]:
         return {
             key: replace(row, paused=True)
             for key, row in self.rows.items()
@@ -165,22 +167,22 @@
         """Return what a node that knows a revision has to learn."""
         rows = (
             self.rows[key]
-            for key, changed in self._changed.items()
+            for key, changed in self._changed_in.items()
             if changed > revision and key in self.rows
         )
         removed = (
-            key for key, gone in self._removed.items() if gone > revision
+            key for key, gone in self._removed_in.items() if gone > revision
         )
         return DirectoryChange(tuple(rows), tuple(removed))
 
     @property
-    def told_revision(self) -> int:
+    def delta_base(self) -> int:
         """Return the revision since which changes are enough; 0: tell all."""
-        return 0 if self.is_apart else self.revision
+        return 0 if self.has_diverged else self.revision
 
-    def compare(self, digest: int) -> None:
+    def check_digest(self, digest: int) -> None:
         """Compare with the digest of the node that told what has changed."""
-        self.is_apart = digest != self.digest
+        self.has_diverged = digest != self.digest
 
     def with_change(self, change: DirectoryChange) -> list[ListedUpstream]:
         """Return the rows as they are after a change."""
@@ -192,9 +194,9 @@
         rows.update((row.lifetime, row) for row in change.rows)
         return list(rows.values())
 
-    def prove(self, proved_at: float) -> None:
+    def confirm(self, confirmed_at: float) -> None:
         """Note a read that showed the rows; an older one changes nothing."""
-        self.proved_at = max(self.proved_at, proved_at)
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def serving(self, service: str) -> list[ListedUpstream]:
         """Return the upstreams of a service that may get new work.
@@ -206,22 +208,22 @@
 
     def is_replaced(self, row: ListedUpstream) -> bool:
         """Tell whether another lifetime has the address of a listed one."""
-        return self._at_address[row.address] > 1
+        return self._address_counts[row.address] > 1
 
-    def grown_at(self, service: str) -> float:
+    def last_added_at(self, service: str) -> float:
         """Return when another upstream of a service was last listed."""
-        return self._grown_at.get(service, float('-inf'))
+        return self._last_added_at.get(service, float('-inf'))
 
-    def note_words(self, lifetimes: Iterable[Lifetime]) -> None:
+    def apply_statements(self, lifetimes: Iterable[Lifetime]) -> None:
         """Take over what some upstreams have just said of themselves."""
         services: set[str] = set()
         for lifetime in lifetimes:
             row = self.rows.get(lifetime)
             if row is None:
                 continue
-            heeding = self._with_word(row)
-            if heeding is not row:
-                self.rows[lifetime] = heeding
+            updated = self._with_statement(row)
+            if updated is not row:
+                self.rows[lifetime] = updated
                 services.add(row.service)
         for service in services:
             # The order stays, which is dear to find among thousands.
@@ -235,32 +237,32 @@
         """Note that a lifetime has proved to be over."""
         row = self.rows.pop(lifetime, None)
         if row is not None:
-            self._note_ended(lifetime, row.upstream_id)
+            self._record_ended(lifetime, row.upstream_id)
             self._index()
 
-    def _note_ended(self, lifetime: Lifetime, upstream_id: str) -> None:
+    def _record_ended(self, lifetime: Lifetime, upstream_id: str) -> None:
         self._ended[lifetime] = upstream_id
-        self._left.discard(lifetime)
-        if len(self._ended) <= REMEMBERED_ENDS:
+        self._seen_leaving.discard(lifetime)
+        if len(self._ended) <= MAX_ENDED_LIFETIMES:
             return
         oldest = next(iter(self._ended))
         forgotten = self._ended.pop(oldest)
-        self._removed.pop(oldest, None)
-        born = self._born.get(forgotten)
+        self._removed_in.pop(oldest, None)
+        born = self._latest_start.get(forgotten)
         if oldest == name_lifetime(forgotten, born):
-            self._born.pop(forgotten, None)
+            self._latest_start.pop(forgotten, None)
 
     def _is_ending(self, lifetime: Lifetime) -> bool:
         row = self.rows.get(lifetime)
         return row is None or row.is_leaving
 
-    def _lapsed(
+    def _retained_rows(
         self,
         found: dict[Lifetime, ListedUpstream],
         now: float,
         outage_ended: float,
     ) -> dict[Lifetime, ListedUpstream]:
-        if now - outage_ended > WRITTEN_AGAIN_SECONDS:
+        if now - outage_ended > REWRITE_SECONDS:
             return {}
         listed = {row.upstream_id for row in found.values()}
         return {
@@ -271,22 +273,22 @@
 
     def _index(self) -> None:
         by_service: dict[str, list[ListedUpstream]] = {}
-        for row in sorted(self.rows.values(), key=_ring_place):
+        for row in sorted(self.rows.values(), key=_ring_position):
             if row.is_serving:
                 by_service.setdefault(row.service, []).append(row)
         self._by_service = by_service
         listed = self.rows.values()
-        self._at_address = Counter(known.address for known in listed)
+        self._address_counts = Counter(known.address for known in listed)
         self.digest = _digest(self.rows.values())
 
 
-def place_on_ring(lifetime: Lifetime) -> int:
+def ring_position(lifetime: Lifetime) -> int:
     """Return the place of a lifetime on a ring that all nodes share."""
     return xxh3_64_intdigest(lifetime.encode())
 
 
-def _ring_place(row: ListedUpstream) -> int:
-    return place_on_ring(row.lifetime)
+def _ring_position(row: ListedUpstream) -> int:
+    return ring_position(row.lifetime)
 
 
 def _digest(rows: Iterable[ListedUpstream]) -> int:
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
@@ -10,7 +10,7 @@
 
 #: Tokens for which reading takes twice as long as its length alone says,
 #: since each token also looks at all before it.
-ATTENTION_TOKENS = 100_000
+DOUBLE_COST_TOKENS = 100_000
 #: What is assumed until requests show more: a slow engine, so that the first
 #: seconds of a service err towards more engines.
 PRIOR_RATE = 60_000.0
@@ -23,19 +23,19 @@
 SAMPLE_HALF_LIFE = 30.0
 #: A wait counts for at most this many times what was expected, so that one
 #: silent engine does not spoil the line.
-MOST_SURPRISE = 3.0
+MAX_WAIT_RATIO = 3.0
 #: Slowest and fastest reading that is believed, in tokens a second.
-LEAST_RATE = 2_000.0
-MOST_RATE = 2_000_000.0
+MIN_RATE = 2_000.0
+MAX_RATE = 2_000_000.0
 
 
-def reading_work(tokens: int) -> float:
+def prefill_work(tokens: int) -> float:
     """Return what reading a prompt costs, in tokens of a short one."""
-    return tokens * (1 + tokens / ATTENTION_TOKENS)
+    return tokens * (1 + tokens / DOUBLE_COST_TOKENS)
 
 
 @dataclass(frozen=True, slots=True)
-class ReadingSpeed:
+class PrefillSpeed:
     """State the line: seconds = base + work / rate."""
 
     base: float = PRIOR_BASE
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class ReadingSums:
+class PrefillSums:
     """Hold sums over samples of work and seconds; sums can be added."""
 
     count: float = 0
@@ -64,71 +64,73 @@
         self.seconds += weight * seconds
         self.product += weight * work * seconds
 
-    def add_sums(self, other: 'ReadingSums', sign: float = 1) -> None:
+    def add_sums(self, other: 'PrefillSums', sign: float = 1) -> None:
         """Add the sums of others, or take them away."""
         for one in fields(self):
             total = getattr(self, one.name)
             setattr(self, one.name, total + sign * getattr(other, one.name))
 
-    def fade(self, part: float) -> None:
+    def decay(self, part: float) -> None:
         """Keep a part of the weight of all samples."""
         for one in fields(self):
             setattr(self, one.name, getattr(self, one.name) * part)
 
-    def line(self) -> ReadingSpeed:
+    def fit(self) -> PrefillSpeed:
         """Return the line of least squares through the samples."""
-        spread = self.count * self.work_square - self.work * self.work
-        if spread <= 0:
-            return ReadingSpeed()
-        slope = (self.count * self.product - self.work * self.seconds) / spread
-        rate = 1 / min(1 / LEAST_RATE, max(1 / MOST_RATE, slope))
+        denominator = self.count * self.work_square - self.work * self.work
+        if denominator <= 0:
+            return PrefillSpeed()
+        slope = (
+            self.count * self.product - self.work * self.seconds
+        ) / denominator
+        rate = 1 / min(1 / MIN_RATE, max(1 / MAX_RATE, slope))
         base = (self.seconds - self.work / rate) / self.count
-        return ReadingSpeed(max(0, base), rate)
+        return PrefillSpeed(max(0, base), rate)
 
 
-def prior_sums(prior: ReadingSpeed) -> ReadingSums:
+def prior_sums(prior: PrefillSpeed) -> PrefillSums:
     """Return the samples that stand for what is assumed at first."""
-    sums = ReadingSums()
+    sums = PrefillSums()
     for work in PRIOR_WORKS:
         sums.add(work, prior.seconds(work), PRIOR_SAMPLES)
     return sums
 
 
 @dataclass(slots=True)
-class ReadingModel:
+class PrefillModel:
     """Learn the line of one service from the sums of all entries."""
 
     #: What a new home heard from the home before.
-    prior: ReadingSpeed = field(default_factory=ReadingSpeed)
-    _sums: ReadingSums = field(default_factory=ReadingSums)
-    _known: dict[str, ReadingSums] = field(default_factory=dict)
-    _faded_at: float = 0
+    prior: PrefillSpeed = field(default_factory=PrefillSpeed)
+    _sums: PrefillSums = field(default_factory=PrefillSums)
+    _last_sums: dict[str, PrefillSums] = field(default_factory=dict)
+    _decayed_at: float = 0
 
-    def learn(self, entry: str, sums: ReadingSums, now: float) -> None:
+    def learn(self, entry: str, sums: PrefillSums, now: float) -> None:
         """Take the sums of an entry since its process started.
 
         The first sums of an entry only show where it stands.
         """
-        self._fade(now)
-        known = self._known.get(entry)
-        self._known[entry] = sums
+        self._decay(now)
+        known = self._last_sums.get(entry)
+        self._last_sums[entry] = sums
         if known is not None:
             self._sums.add_sums(sums)
             self._sums.add_sums(known, -1)
 
-    def speed(self) -> ReadingSpeed:
+    def speed(self) -> PrefillSpeed:
         """Return the line that is in force now."""
         sums = prior_sums(self.prior)
         sums.add_sums(self._sums)
-        return sums.line()
+        return sums.fit()
 
-    def _fade(self, now: float) -> None:
-        passed = now - self._faded_at
+    def _decay(self, now: float) -> None:
+        passed = now - self._decayed_at
         if passed >= 1:
-            self._sums.fade(0.5 ** (passed / SAMPLE_HALF_LIFE))
-            self._faded_at = now
+            self._sums.decay(0.5 ** (passed / SAMPLE_HALF_LIFE))
+            self._decayed_at = now
 
 
-def bounded_seconds(seconds: float, expected: float) -> float:
+def clamp_wait(seconds: float, expected: float) -> float:
     """Return a wait as far as it is believed."""
-    return min(seconds, expected * MOST_SURPRISE)
+    return min(seconds, expected * MAX_WAIT_RATIO)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/identity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/identity.py
@@ -30,8 +30,8 @@
     just started and reaches nobody.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
-    heads = (part.encode() for part in (caller, host, method, target))
-    for part in (*heads, body):
+    text_parts = (part.encode() for part in (caller, host, method, target))
+    for part in (*text_parts, body):
         digest.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
         digest.update(part)
     return RequestIdentity(digest.hexdigest())
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/limits.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/limits.py
@@ -24,21 +24,21 @@
 class Tolerance:
     """State how much more than a limit the platform lets run in a window."""
 
-    part: float = 0
+    fraction: float = 0
     units: float = 0
 
-    def beyond(self, limit: Limit) -> float:
+    def extra_units(self, limit: Limit) -> float:
         """Return the units that may run beyond a limit."""
-        return limit.total * self.part + self.units
+        return limit.total * self.fraction + self.units
 
 
 Limits = Mapping[str, Limit]
 #: Limits of before, with the time until which each still counts.
-Lowered = deque[tuple[float, Limit]]
+FormerLimits = deque[tuple[float, Limit]]
 
 
 @dataclass(slots=True)
-class LimitsInForce:
+class EffectiveLimits:
     """Hold each span to the limits that were in force during it.
 
     A lower limit binds one window after it came: until then, the window holds
@@ -47,35 +47,35 @@
     """
 
     _configured: Limits = field(default_factory=dict)
-    _higher: dict[str, Lowered] = field(default_factory=dict)
+    _former: dict[str, FormerLimits] = field(default_factory=dict)
 
     def at(self, configured: Limits, now: float) -> dict[str, Limit]:
         """Return the limits that bind now, given those that are configured."""
         if configured != self._configured:
-            self._note_lowered(configured, now)
+            self._record_lowered(configured, now)
             self._configured = configured
-        if not self._higher:
+        if not self._former:
             return dict(configured)
         return {
-            name: self._binding(name, limit, now)
+            name: self._effective(name, limit, now)
             for name, limit in configured.items()
         }
 
-    def _note_lowered(self, configured: Limits, now: float) -> None:
+    def _record_lowered(self, configured: Limits, now: float) -> None:
         for name, before in self._configured.items():
             limit = configured.get(name)
             if limit is not None and limit.total < before.total:
                 until = now + before.window
-                self._higher.setdefault(name, deque()).append((until, before))
-
-    def _binding(self, name: str, limit: Limit, now: float) -> Limit:
-        higher = self._higher.get(name)
-        while higher and higher[0][0] <= now:
-            higher.popleft()
-        if not higher:
-            self._higher.pop(name, None)
+                self._former.setdefault(name, deque()).append((until, before))
+
+    def _effective(self, name: str, limit: Limit, now: float) -> Limit:
+        former = self._former.get(name)
+        while former and former[0][0] <= now:
+            former.popleft()
+        if not former:
+            self._former.pop(name, None)
             return limit
-        known = (row for _, row in higher)
+        known = (row for _, row in former)
         return max(limit, *known, key=_total)
 
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/listed.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/listed.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnusableEntry:
+class UnusableRecord:
     """Say why an entry of the platform's list names no upstream to use."""
 
     upstream_id: str
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/loads.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/loads.py
@@ -9,7 +9,7 @@
 #: Seconds in which the weight of a failure halves.
 FAILURE_HALF_LIFE = 3.0
 #: Most failures that count against an upstream at a time.
-MOST_FAILURES = 8.0
+MAX_FAILURE_SCORE = 8.0
 
 
 @dataclass(slots=True)
@@ -17,19 +17,19 @@
     """Hold the recent failures of an upstream, fading with time."""
 
     score: float = 0
-    noted_at: float = 0
+    updated_at: float = 0
 
     def value(self, now: float) -> float:
         """Return the failures that still count."""
         if not self.score:
             return 0
-        passed = max(0, now - self.noted_at)
+        passed = max(0, now - self.updated_at)
         return float(self.score * 0.5 ** (passed / FAILURE_HALF_LIFE))
 
     def add(self, failures: float, now: float) -> None:
         """Add failures seen now."""
-        self.score = min(MOST_FAILURES, self.value(now) + failures)
-        self.noted_at = now
+        self.score = min(MAX_FAILURE_SCORE, self.value(now) + failures)
+        self.updated_at = now
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     changes: int = 0
     others_running: Mapping[Lifetime, int] = field(default_factory=dict)
     others_prefill: Mapping[Lifetime, int] = field(default_factory=dict)
-    _failed_elsewhere: dict[Lifetime, int] | None = None
+    _remote_failed: dict[Lifetime, int] | None = None
     _scores: dict[Lifetime, FailureScore] = field(default_factory=dict)
 
     def begin(self, lifetime: Lifetime, prefill: int) -> None:
@@ -75,24 +75,24 @@
         self.failed[lifetime] += 1
         self._score(lifetime).add(weight, now)
 
-    def learn_failures(
+    def add_remote_failures(
         self, totals: Mapping[Lifetime, int], now: float
     ) -> None:
         """Count the failures that other entries saw since the last table.
 
         The first table of a link only shows where the counts stand.
         """
-        known = self._failed_elsewhere
+        known = self._remote_failed
         if known is not None:
             for lifetime, total in totals.items():
                 added = total - known.get(lifetime, 0)
                 if added > 0:
                     self._score(lifetime).add(added, now)
-        self._failed_elsewhere = dict(totals)
+        self._remote_failed = dict(totals)
 
-    def forget_others(self) -> None:
+    def reset_others(self) -> None:
         """Start anew with the others, after a change of the home."""
-        self._failed_elsewhere = None
+        self._remote_failed = None
         self.others_running = {}
         self.others_prefill = {}
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/prefixes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/prefixes.py
@@ -12,7 +12,7 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
 #: Parts remembered for each upstream, newest kept.
-REMEMBERED_PARTS = 400
+MAX_PARTS_PER_UPSTREAM = 400
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
             holders = self._holders.setdefault(part.part_id, {})
             holders.pop(lifetime, None)
             holders[lifetime] = None
-        while len(known) > REMEMBERED_PARTS:
+        while len(known) > MAX_PARTS_PER_UPSTREAM:
             part_id, _ = known.popitem(last=False)
             self._drop(part_id, lifetime)
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/reporting.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/reporting.py
@@ -10,7 +10,7 @@
 #: Reports a second that the home takes from all entries together: above
 #: 50 entries each reports more rarely. What runs is told besides, as it
 #: changes.
-MOST_REPORTS = 200
+MAX_REPORTS_PER_SECOND = 200
 #: Periods without a report after which an entry is silent: one report may be
 #: late by a whole period while the home is busy.
 SILENT_PERIODS = 2.0
@@ -19,12 +19,12 @@
 SILENT_SECONDS = 0.8
 #: Seconds without a word after which what runs at an entry counts no more, at
 #: the least.
-UNHEARD_SECONDS = 2.0
+LOAD_EXPIRY_SECONDS = 2.0
 
 
 def report_period(entries: int) -> float:
     """Return the seconds between two reports of each of so many entries."""
-    return max(REPORT_PERIOD, entries / MOST_REPORTS)
+    return max(REPORT_PERIOD, entries / MAX_REPORTS_PER_SECOND)
 
 
 def silent_after(period: float) -> float:
@@ -32,6 +32,6 @@
     return max(SILENT_SECONDS, SILENT_PERIODS * period)
 
 
-def unheard_after(period: float) -> float:
+def load_expires_after(period: float) -> float:
     """Return the seconds after which what runs at it counts no more."""
-    return max(UNHEARD_SECONDS, SILENT_PERIODS * period)
+    return max(LOAD_EXPIRY_SECONDS, SILENT_PERIODS * period)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/spending.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/spending.py
@@ -7,13 +7,13 @@
 
 #: Seconds of one slot. What was spent in a slot leaves the window with the
 #: end of the slot: late by at most this, and never early.
-SLOT_SECONDS = 0.1
+BUCKET_SECONDS = 0.1
 
 Units = dict[str, float]
 #: Units by their age in whole seconds, youngest first.
 ByAge = list[float]
 #: Units with the time at which they were spent.
-Pieces = list[tuple[float, float]]
+TimedUnits = list[tuple[float, float]]
 
 
 @dataclass(slots=True)
@@ -21,16 +21,16 @@
     """Hold units by the slot of time in which they were spent."""
 
     spent: float = 0
-    _slots: dict[int, float] = field(default_factory=dict)
+    _buckets: dict[int, float] = field(default_factory=dict)
     #: First slot that is still in the window.
     _first: float = -inf
 
     def add(self, units: float, at: float) -> None:
         """Add units spent at a time, which may be past; negative cancel."""
-        slot = floor(at / SLOT_SECONDS)
-        if slot < self._first:
+        bucket = floor(at / BUCKET_SECONDS)
+        if bucket < self._first:
             return
-        self._slots[slot] = self._slots.get(slot, 0) + units
+        self._buckets[bucket] = self._buckets.get(bucket, 0) + units
         self.spent += units
 
     def spend(self, units: float, window: float, now: float) -> None:
@@ -43,38 +43,40 @@
 
     def recent(self, window: float, now: float) -> float:
         """Return what was spent in the window that ends now."""
-        first = floor((now - window) / SLOT_SECONDS)
+        first = floor((now - window) / BUCKET_SECONDS)
         if first > self._first:
             self._first = first
-            left = [slot for slot in self._slots if slot < first]
-            for slot in left:
-                self.spent -= self._slots.pop(slot)
+            expired = [bucket for bucket in self._buckets if bucket < first]
+            for bucket in expired:
+                self.spent -= self._buckets.pop(bucket)
         return self.spent
 
-    def holds(self, at: float, window: float, now: float) -> bool:
+    def is_in_window(self, at: float, window: float, now: float) -> bool:
         """Tell whether what was spent at a time is still in the window."""
         self.recent(window, now)
-        return floor(at / SLOT_SECONDS) >= self._first
+        return floor(at / BUCKET_SECONDS) >= self._first
 
     def rate(self, seconds: float, now: float) -> float:
         """Return the units a second of the last ``seconds``."""
-        first = floor((now - seconds) / SLOT_SECONDS)
-        late = (units for slot, units in self._slots.items() if slot > first)
-        return sum(late) / seconds
+        first = floor((now - seconds) / BUCKET_SECONDS)
+        recent_units = (
+            units for bucket, units in self._buckets.items() if bucket > first
+        )
+        return sum(recent_units) / seconds
 
     def by_age(self, now: float) -> ByAge:
         """Return the units by their age, none older than it is."""
         ages: dict[int, float] = {}
-        for slot, units in self._slots.items():
-            age = max(0, floor(now - (slot + 1) * SLOT_SECONDS))
+        for bucket, units in self._buckets.items():
+            age = max(0, floor(now - (bucket + 1) * BUCKET_SECONDS))
             ages[age] = ages.get(age, 0) + units
         return [ages.get(age, 0) for age in range(max(ages, default=-1) + 1)]
 
-    def recall(self, by_age: Sequence[float], told_at: float) -> None:
+    def recall(self, by_age: Sequence[float], reported_at: float) -> None:
         """Add units by the age that they had when they were told."""
         for seconds, units in enumerate(by_age):
             if units:
-                self.add(units, told_at - seconds)
+                self.add(units, reported_at - seconds)
 
 
 def sum_ages(rows: Iterable[ByAge]) -> ByAge:
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/statements.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/statements.py
@@ -14,11 +14,11 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
 #: Lifetimes of which a word is kept; those that spoke longest ago go first.
-REMEMBERED = 16_384
+MAX_LIFETIMES = 16_384
 #: Digits of a decimal number that is read; more state no rate and no time.
-DIGITS = 9
+MAX_DIGITS = 9
 
-_DECIMAL = re.compile(rb'(\d{1,%d})(\.\d{0,%d})?' % (DIGITS, DIGITS))
+_DECIMAL = re.compile(rb'(\d{1,%d})(\.\d{0,%d})?' % (MAX_DIGITS, MAX_DIGITS))
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,14 +28,14 @@
     #: Requests a second that it takes from all entries together.
     rate: float | None = None
     #: Whether it named a limit that cannot be read, which says nothing.
-    is_rate_unread: bool = False
+    is_rate_invalid: bool = False
     leaves: bool = False
     #: Seconds for which it wants nothing from the entry that it answered.
     backoff: float = 0
 
 
 @dataclass(frozen=True, slots=True)
-class KnownWord:
+class KnownStatement:
     """State what is known of one upstream, as nodes tell it each other."""
 
     #: None: it names no limit.
@@ -46,25 +46,25 @@
 
 
 @unique
-class News(StrEnum):
+class StatementChange(StrEnum):
     """Name what an answer tells that was not known."""
 
     LIMIT = 'limit'
     NO_LIMIT = 'no-limit'
-    UNREAD_LIMIT = 'unread-limit'
+    INVALID_LIMIT = 'unread-limit'
     LEAVES = 'leaves'
     BACK_OFF = 'back-off'
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class StatedLimit:
     """Hold the last word of an upstream on its limit."""
 
     rate: float | None
-    heard_at: float
+    received_at: float
 
 
-Words = dict[Lifetime, KnownWord]
+KnownStatements = dict[Lifetime, KnownStatement]
 
 
 @dataclass(slots=True)
@@ -77,55 +77,57 @@
     rates: dict[Lifetime, float] = field(default_factory=dict)
     #: Those that said that they leave.
     leaving: set[Lifetime] = field(default_factory=set)
-    _limits: dict[Lifetime, NamedLimit] = field(default_factory=dict)
+    _limits: dict[Lifetime, StatedLimit] = field(default_factory=dict)
     #: Version of the last change of each, oldest first.
     _changed: dict[Lifetime, int] = field(default_factory=dict)
 
-    def hear(
+    def record(
         self,
         lifetime: Lifetime,
-        said: Statement,
+        statement: Statement,
         sent_at: float,
         now: float,
         *,
         is_signed: bool,
-    ) -> list[News]:
+    ) -> list[StatementChange]:
         """Take what an answer says that arrives now; return what is new.
 
         ``sent_at`` is when its request was sent. An answer without a limit
         takes it back if the upstream ran a request that was sent after the
         limit was known here.
         """
-        news: list[News] = []
-        if said.leaves and self._learn_leaving(lifetime):
-            news.append(News.LEAVES)
-        if said.is_rate_unread:
-            return [*news, News.UNREAD_LIMIT]
-        if said.rate is not None:
-            if self._learn_rate(lifetime, NamedLimit(said.rate, now)):
-                news.append(News.LIMIT)
-        elif is_signed and self._is_taken_back(lifetime, sent_at):
-            self._learn_rate(lifetime, NamedLimit(None, now))
-            news.append(News.NO_LIMIT)
-        return news
-
-    def learn(self, words: Words, now: float) -> list[Lifetime]:
+        changes: list[StatementChange] = []
+        if statement.leaves and self._learn_leaving(lifetime):
+            changes.append(StatementChange.LEAVES)
+        if statement.is_rate_invalid:
+            return [*changes, StatementChange.INVALID_LIMIT]
+        if statement.rate is not None:
+            if self._learn_rate(lifetime, StatedLimit(statement.rate, now)):
+                changes.append(StatementChange.LIMIT)
+        elif is_signed and self._is_withdrawn(lifetime, sent_at):
+            self._learn_rate(lifetime, StatedLimit(None, now))
+            changes.append(StatementChange.NO_LIMIT)
+        return changes
+
+    def learn(self, statements: KnownStatements, now: float) -> list[Lifetime]:
         """Take what another node knows; return what had not been known."""
         return [
             lifetime
-            for lifetime, word in words.items()
-            if self._learn_word(lifetime, word, now)
+            for lifetime, statement in statements.items()
+            if self._learn_statement(lifetime, statement, now)
         ]
 
-    def words(self, lifetimes: Iterable[Lifetime], now: float) -> Words:
+    def known_statements(
+        self, lifetimes: Iterable[Lifetime], now: float
+    ) -> KnownStatements:
         """Return what is known of some upstreams."""
-        return {one: self._word(one, now) for one in lifetimes}
+        return {one: self._known_statement(one, now) for one in lifetimes}
 
-    def words_since(self, version: int, now: float) -> Words:
+    def changes_since(self, version: int, now: float) -> KnownStatements:
         """Return what has changed since a version of this table."""
         newest_first = reversed(self._changed.items())
         changed = takewhile(lambda row: row[1] > version, newest_first)
-        return self.words((lifetime for lifetime, _ in changed), now)
+        return self.known_statements((lifetime for lifetime, _ in changed), now)
 
     def forget(self, lifetime: Lifetime) -> None:
         """Drop what a lifetime said that is over for good."""
@@ -134,22 +136,22 @@
         self.leaving.discard(lifetime)
         self._changed.pop(lifetime, None)
 
-    def _is_taken_back(self, lifetime: Lifetime, sent_at: float) -> bool:
+    def _is_withdrawn(self, lifetime: Lifetime, sent_at: float) -> bool:
         known = self._limits.get(lifetime)
         if known is None or known.rate is None:
             return False
-        return sent_at >= known.heard_at
+        return sent_at >= known.received_at
 
-    def _learn_word(
+    def _learn_statement(
         self,
         lifetime: Lifetime,
-        word: KnownWord,
+        statement: KnownStatement,
         now: float,
     ) -> bool:
-        is_new = word.leaves and self._learn_leaving(lifetime)
-        if word.rate_age is None:
+        is_new = statement.leaves and self._learn_leaving(lifetime)
+        if statement.rate_age is None:
             return is_new
-        limit = NamedLimit(word.rate, now - word.rate_age)
+        limit = StatedLimit(statement.rate, now - statement.rate_age)
         return self._learn_rate(lifetime, limit) or is_new
 
     def _learn_leaving(self, lifetime: Lifetime) -> bool:
@@ -159,10 +161,10 @@
         self._note_changed(lifetime)
         return True
 
-    def _learn_rate(self, lifetime: Lifetime, limit: NamedLimit) -> bool:
+    def _learn_rate(self, lifetime: Lifetime, limit: StatedLimit) -> bool:
         """Take a later word on a limit; tell whether it says another rate."""
         known = self._limits.get(lifetime)
-        if known is not None and limit.heard_at <= known.heard_at:
+        if known is not None and limit.received_at <= known.received_at:
             return False
         if known is None and limit.rate is None:
             return False
@@ -183,15 +185,17 @@
         self.version += 1
         self._changed.pop(lifetime, None)
         self._changed[lifetime] = self.version
-        if len(self._changed) > REMEMBERED:
+        if len(self._changed) > MAX_LIFETIMES:
             self.forget(next(iter(self._changed)))
 
-    def _word(self, lifetime: Lifetime, now: float) -> KnownWord:
+    def _known_statement(
+        self, lifetime: Lifetime, now: float
+    ) -> KnownStatement:
         limit = self._limits.get(lifetime)
         leaves = lifetime in self.leaving
         if limit is None:
-            return KnownWord(leaves=leaves)
-        return KnownWord(limit.rate, now - limit.heard_at, leaves)
+            return KnownStatement(leaves=leaves)
+        return KnownStatement(limit.rate, now - limit.received_at, leaves)
 
 
 def read_decimal(text: bytes) -> float | None:
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/true_time.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/true_time.py
@@ -8,7 +8,7 @@
 
 #: Seconds by which the estimate of another node must differ from this
 #: node's own to replace it.
-DOUBT_SECONDS = 0.5
+CORRECTION_THRESHOLD_SECONDS = 0.5
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
 
     def correct(self, true_time: float, now: float) -> bool:
         """Follow the fleet's estimate when it differs; tell whether it did."""
-        if abs(self.at(now) - true_time) < DOUBT_SECONDS:
+        if abs(self.at(now) - true_time) < CORRECTION_THRESHOLD_SECONDS:
             return False
         self.offset = true_time - now
         return True
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/unit_reports.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/unit_reports.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GivenUnits:
+class AllocatedUnits:
     """State what an entry may spend until it is given more."""
 
     held: Units = field(default_factory=dict)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/usage.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/usage.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 #: Windows that an entry keeps after their end, for a new home.
-KEPT_WINDOWS = 6
+RETAINED_WINDOWS = 6
 
 WindowCounts = dict[int, dict[str, int]]
 
@@ -35,7 +35,7 @@
         row[workspace] = row.get(workspace, 0) + 1
 
     def _drop_old(self, newest: int) -> None:
-        old = [key for key in self.windows if key < newest - KEPT_WINDOWS]
+        old = [key for key in self.windows if key < newest - RETAINED_WINDOWS]
         for key in old:
             self.windows.pop(key)
 
@@ -46,7 +46,7 @@
 
     by_entry: dict[str, WindowCounts] = field(default_factory=dict)
 
-    def learn(self, entry: str, windows: WindowCounts) -> None:
+    def update(self, entry: str, windows: WindowCounts) -> None:
         """Take over the counts of one incarnation of an entry."""
         self.by_entry.setdefault(entry, {}).update(windows)
 
@@ -57,14 +57,14 @@
             counts.update(windows.get(window, {}))
         return dict(counts)
 
-    def forget_before(self, window: int) -> None:
+    def drop_before(self, window: int) -> None:
         """Drop the counts of windows that were reported long ago."""
         self.by_entry = {
             entry: kept
             for entry, windows in self.by_entry.items()
-            if (kept := _kept(windows, window))
+            if (kept := _windows_from(windows, window))
         }
 
 
-def _kept(windows: WindowCounts, first: int) -> WindowCounts:
+def _windows_from(windows: WindowCounts, first: int) -> WindowCounts:
     return {key: row for key, row in windows.items() if key >= first}
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
@@ -4,9 +4,9 @@
 
 from spanfall_core.gateway.known.limits import Limit, Limits
 from spanfall_core.gateway.known.spending import (
-    SLOT_SECONDS,
-    Pieces,
+    BUCKET_SECONDS,
     Spending,
+    TimedUnits,
     Units,
 )
 from spanfall_core.gateway.known.unit_reports import EntrySpending
@@ -14,7 +14,7 @@
 #: Seconds by which units that came back may be younger than their age says:
 #: ages are whole seconds of slots. Taken as older, they never cancel more
 #: than their spending, which the home heard of later.
-AGE_ERROR = 1 + 2 * SLOT_SECONDS
+AGE_ERROR = 1 + 2 * BUCKET_SECONDS
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     given_beyond: Units = field(default_factory=dict)
     own: dict[str, Spending] = field(default_factory=dict)
     #: What came back to it, as told last: time of the spending and units.
-    returned: dict[str, Pieces] = field(default_factory=dict)
+    returned: dict[str, TimedUnits] = field(default_factory=dict)
     #: Its spending in the window when it fell silent; None: it is heard.
     silent_recent: Units | None = None
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
@@ -6,8 +6,8 @@
 from spanfall_core.gateway.known.limits import Limit, Limits
 from spanfall_core.gateway.known.spending import (
     ByAge,
-    Pieces,
     Spending,
+    TimedUnits,
     sum_ages,
 )
 
@@ -73,7 +73,7 @@
         """Add what an entry spent before it was heard."""
         self._of(workspace).recall(by_age, now)
 
-    def count_returned(self, rows: Mapping[str, Pieces], sign: int) -> None:
+    def count_returned(self, rows: Mapping[str, TimedUnits], sign: int) -> None:
         """Count units that came back, or with a sign of -1 no longer."""
         for workspace, pieces in rows.items():
             total = self._returned.setdefault(workspace, Spending())
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
@@ -16,7 +16,10 @@
 
 from spanfall_core.gateway.known.limits import Limit, Limits
 from spanfall_core.gateway.known.spending import ByAge, Spending, Units
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 
 #: Part of its share of a limit that an entry may spend at its start, before
 #: it finds the home: enough for the first requests of each workspace.
@@ -111,7 +114,7 @@
         has left, and let as much run twice.
         """
         own = self._own.get(workspace)
-        if own is None or not own.holds(spent_at, limit.window, now):
+        if own is None or not own.is_in_window(spent_at, limit.window, now):
             return
         returned = self._returned.setdefault(workspace, Spending())
         returned.recent(limit.window, now)
@@ -167,7 +170,7 @@
 
     def learn_given(
         self,
-        given: GivenUnits,
+        given: AllocatedUnits,
         reported: EntrySpending,
         limits: Limits,
         now: float,
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
@@ -9,11 +9,14 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from spanfall_core.gateway.known.fleet import FORGET_SECONDS
+from spanfall_core.gateway.known.fleet import ENTRY_RETENTION_SECONDS
 from spanfall_core.gateway.known.limits import Limit, Limits, Tolerance
 from spanfall_core.gateway.known.reporting import SILENT_SECONDS
 from spanfall_core.gateway.known.spending import ByAge, Spending, Units
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 from spanfall_core.gateway.limits.entry_account import EntryAccount
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
 from spanfall_core.gateway.limits.taken_over import TakenOver
@@ -114,7 +117,7 @@
         entry: str,
         limits: Limits,
         now: float,
-    ) -> GivenUnits | None:
+    ) -> AllocatedUnits | None:
         """Return what an entry may spend until it is given more.
 
         It is an equal part of what the pool and the entry hold: half of what
@@ -133,7 +136,7 @@
             account.hold(workspace, part, use.free_cover(live))
             levels[workspace] = use.level
         self._count_held(account, 1)
-        return GivenUnits(
+        return AllocatedUnits(
             dict(account.given),
             dict(account.given_beyond),
             levels,
@@ -158,7 +161,7 @@
         if limit is None or account is None or not live:
             return 0
         pool = self.use(workspace, limit, now).pool
-        borrowed = self.tolerance.beyond(limit) * BORROWED_PART
+        borrowed = self.tolerance.extra_units(limit) * BORROWED_PART
         if pool <= 0 or pool - units < -borrowed:
             return 0
         lent = units + max(0, pool - units) / (live + 1)
@@ -175,7 +178,7 @@
             self._held[workspace],
             self._beyond[workspace],
             self._hidden(workspace, limit, now),
-            self.tolerance.beyond(limit) * COVERED_PART,
+            self.tolerance.extra_units(limit) * COVERED_PART,
         )
 
     def pressed(self, limits: Limits, now: float) -> dict[str, ByAge]:
@@ -230,7 +233,8 @@
         dead = [
             key
             for key, account in self._entries.items()
-            if account.node == node or now - account.heard_at > FORGET_SECONDS
+            if account.node == node
+            or now - account.heard_at > ENTRY_RETENTION_SECONDS
         ]
         for key in dead:
             account = self._entries.pop(key)
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from spanfall_core.gateway.known.fleet import FORGET_SECONDS
+from spanfall_core.gateway.known.fleet import ENTRY_RETENTION_SECONDS
 from spanfall_core.gateway.known.limits import Limit
 from spanfall_core.gateway.known.spending import Units
 from spanfall_core.gateway.known.unit_reports import EntrySpending
@@ -52,7 +52,7 @@
         missing may be alive and hold their equal parts.
         """
         passed = now - self.began_at
-        if not self.entries or passed > FORGET_SECONDS:
+        if not self.entries or passed > ENTRY_RETENTION_SECONDS:
             return 0
         part = max(0, self.entries - heard) / self.entries
         if passed >= limit.window:
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
@@ -102,7 +102,7 @@
     hold = scaling.boot_seconds * HOLD_BOOTS
     held = orders.wanted.learn(ceil(covered / max(1, places)), hold, now)
     each = max(held, ceil(orders.demand.expected(now) / max(1, places)))
-    count = max(scaling.least, min(scaling.most, each))
+    count = max(scaling.min_upstreams, min(scaling.max_upstreams, each))
     if orders.is_scarce(now):
         # What is sent away in a dry spell cannot be had again; others that
         # bridge it cost several times as much.
@@ -191,7 +191,9 @@
         bridge[dear] -= gone
         change += gone
     for cheap in places:
-        room = scaling.most - present.reclaimable[cheap] - bridge[cheap]
+        room = (
+            scaling.max_upstreams - present.reclaimable[cheap] - bridge[cheap]
+        )
         added = max(0, min(room, change))
         bridge[cheap] += added
         change -= added
@@ -208,7 +210,7 @@
 ) -> list[Order]:
     place = wanted.data_centre
     others = orders.in_force.get((place, False), present.others[place])
-    room = scaling.most - max(others, present.others[place])
+    room = scaling.max_upstreams - max(others, present.others[place])
     reclaimable = Order(
         wanted.service,
         place,
@@ -217,9 +219,9 @@
     )
     # Others that serve stay until reclaimable ones do; none is ordered where
     # a place lost its reclaimable ones and the rest of the fleet is enough.
-    least = scaling.least - present.reclaimable[place]
+    least = scaling.min_upstreams - present.reclaimable[place]
     keep = max(bridge, min(present.others[place], least))
-    if others >= scaling.most and not orders.is_scarce(now):
+    if others >= scaling.max_upstreams and not orders.is_scarce(now):
         # A full place takes no reclaimable upstream until one has left; while
         # none are to be had, nothing makes room for them.
         keep = min(keep, others - 1)
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/demand.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/demand.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_core.gateway.known.configuration import EngineLimits
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 
 #: Part of an engine's slots that run with tokens in time.
 GOOD_BATCH = 0.7
@@ -41,7 +41,7 @@
 def needed_upstreams(
     engine: EngineLimits,
     load: OfferedLoad,
-    speed: ReadingSpeed,
+    speed: PrefillSpeed,
     there: int,
 ) -> float:
     """Return the engines that a load keeps busy with answers in time.
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/balance.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/balance.py
@@ -9,8 +9,8 @@
 
 from xxhash import xxh3_64_intdigest
 
-from spanfall_core.gateway.known.directory import place_on_ring
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.directory import ring_position
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.prefixes import PrefixIndex
@@ -54,7 +54,7 @@
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     sizes: PromptSizes = field(default_factory=PromptSizes)
     #: How fast the engines of each service read, as the home learned.
-    speeds: dict[str, ReadingSpeed] = field(default_factory=dict)
+    speeds: dict[str, PrefillSpeed] = field(default_factory=dict)
     _shortlists: dict[str, Shortlist[ListedUpstream]] = field(
         default_factory=dict,
     )
@@ -64,9 +64,9 @@
         if ask.prompt_tokens:
             self.sizes.learn(ask.prompt_tokens, now)
 
-    def speed(self, service: str) -> ReadingSpeed:
+    def speed(self, service: str) -> PrefillSpeed:
         """Return how fast engines of a service read, as far as is known."""
-        return self.speeds.get(service, ReadingSpeed())
+        return self.speeds.get(service, PrefillSpeed())
 
     def shortlist(
         self,
@@ -76,7 +76,7 @@
         service = rows[0].service
         known = self._shortlists.get(service)
         if known is None or known.rows is not rows:
-            digests = [place_on_ring(row.lifetime) for row in rows]
+            digests = [ring_position(row.lifetime) for row in rows]
             numbers = {row.lifetime: at for at, row in enumerate(rows)}
             known = Shortlist(rows, digests, numbers)
             self._shortlists[service] = known
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
@@ -11,7 +11,7 @@
 from spanfall_core.gateway.known.counting import add_counts
 from spanfall_core.gateway.known.lifetimes import ByLifetime, Lifetime
 from spanfall_core.gateway.known.loads import Loads
-from spanfall_core.gateway.known.reporting import UNHEARD_SECONDS
+from spanfall_core.gateway.known.reporting import LOAD_EXPIRY_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     load: EntryLoad = field(default_factory=EntryLoad)
     heard_at: float = 0
     #: Seconds after which it is unheard, by the period that it was told.
-    unheard_after: float = UNHEARD_SECONDS
+    unheard_after: float = LOAD_EXPIRY_SECONDS
     pending: list[Grant] = field(default_factory=list)
 
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/sizes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/sizes.py
@@ -10,7 +10,7 @@
 from itertools import repeat
 from math import log2
 
-from spanfall_core.gateway.known.engine_model import reading_work
+from spanfall_core.gateway.known.engine_model import prefill_work
 
 #: Buckets for each doubling of the length.
 BUCKETS_PER_DOUBLING = 2
@@ -36,7 +36,7 @@
     def learn(self, tokens: int, now: float) -> None:
         """Count a prompt that is read now."""
         self._fade(now)
-        self._work[_bucket(tokens)] += reading_work(tokens)
+        self._work[_bucket(tokens)] += prefill_work(tokens)
 
     def place(self, tokens: int) -> float:
         """Return where a prompt belongs, from 0 for short to 1 for long."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -111,7 +111,7 @@
         self._learn_demand(service, orders, now)
         state.needs[service.name] = orders.demand.peak
         present = count_present(rows)
-        grown_at = state.directory.grown_at(service.name)
+        grown_at = state.directory.last_added_at(service.name)
         orders.demand.find(present.total(), grown_at, now)
         settle = SETTLE_SECONDS
         if state.tenure.is_first:
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
@@ -235,7 +235,7 @@
         status = await self._cloud.call('usage', call)
         if status == 200:
             self._unsent.remove(window)
-            state.fleet.usage.forget_before(window - COUNTED_WINDOWS)
+            state.fleet.usage.drop_before(window - COUNTED_WINDOWS)
             return True
         if 400 <= status < 500 and status != 429:
             logger.error('The cloud refused the usage of window %s', window)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -131,7 +131,7 @@
 
     async def _use(self, link: ClientConnection) -> None:
         """Use a link until it fails or there is another home."""
-        self._state.loads.forget_others()
+        self._state.loads.reset_others()
         self._table = FollowedTable(self._state, self._sync)
         self._tables = []
         self._asked = anyio.Event()
@@ -253,7 +253,7 @@
             report,
             state.version,
             state.directory.digest,
-            state.directory.told_revision,
+            state.directory.delta_base,
             wants_totals=self._table.wants_totals(sent_at),
             seen=self._grants.load().seen,
             strength=strength(state.cfg.host),
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
@@ -48,10 +48,10 @@
                 sent_at - table.proof_age,
             )
         elif table.configuration_version == state.version:
-            state.freshness.prove(sent_at - table.proof_age)
+            state.freshness.confirm(sent_at - table.proof_age)
         listed_at = sent_at - table.upstreams_age
         if table.upstreams is None:
-            state.directory.prove(listed_at)
+            state.directory.confirm(listed_at)
         else:
             self._learn_upstreams(table.upstreams, listed_at)
         if state.true_time.correct(table.true_time, now):
@@ -80,4 +80,4 @@
             rows = self._state.directory.with_change(change)
         self._sync.learn_upstreams(part.revision, rows, listed_at)
         if part.is_change:
-            self._state.directory.compare(part.digest)
+            self._state.directory.check_digest(part.digest)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -9,7 +9,7 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known.reporting import unheard_after
+from spanfall_core.gateway.known.reporting import load_expires_after
 from spanfall_core.gateway.routing.grants import EntryLoad
 from websockets.asyncio.server import ServerConnection, serve
 from websockets.exceptions import WebSocketException
@@ -186,11 +186,11 @@
         load = EntryLoad(report.running, report.prefill, message.seen)
         period = state.fleet.period(now)
         state.grant_book.learn(report.key, load, now)
-        state.grant_book.expect(report.key, unheard_after(period))
+        state.grant_book.expect(report.key, load_expires_after(period))
         state.grant_book.forget_silent(now)
         totals = None
         if message.wants_totals:
-            totals = state.fleet.others(report.key, now)
+            totals = state.fleet.totals_except(report.key, now)
         return TableMessage(
             epoch=state.tenure.epoch,
             entries=state.fleet.size(now),
@@ -199,7 +199,7 @@
             configuration_version=state.version,
             proof_age=min(state.freshness.age(now), NEVER_SECONDS),
             upstreams_age=min(
-                now - state.directory.proved_at,
+                now - state.directory.confirmed_at,
                 NEVER_SECONDS,
             ),
             true_time=state.true_time.at(now),
@@ -218,7 +218,7 @@
         now: float,
     ) -> WordsPart | None:
         table = self._state.words.table
-        words = table.words_since(message.words_version, now)
+        words = table.changes_since(message.words_version, now)
         return WordsPart(table.version, words) if words else None
 
     def _configuration(
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -9,7 +9,10 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known.reporting import report_period, unheard_after
+from spanfall_core.gateway.known.reporting import (
+    load_expires_after,
+    report_period,
+)
 
 from spanfall_node.gateway.home.claiming import Claim, claim_home
 from spanfall_node.gateway.home.home_content import HomeContent, name_home
@@ -131,7 +134,7 @@
             return True
         now = state.timers.now()
         entries = state.quotas.entries
-        silence = max(LEASE_SECONDS, unheard_after(report_period(entries)))
+        silence = max(LEASE_SECONDS, load_expires_after(report_period(entries)))
         if now - state.home_heard_at > silence:
             return True
         age = max(LEASE_SECONDS, old_proof(entries))
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
@@ -3,7 +3,7 @@
 import logging
 from dataclasses import replace
 
-from spanfall_core.gateway.known.fleet import MEETING_SECONDS, FleetState
+from spanfall_core.gateway.known.fleet import ASSUMED_SIZE_SECONDS, FleetState
 from spanfall_core.gateway.routing.balance import PromptHistory
 from spanfall_core.gateway.routing.grants import GrantBook
 
@@ -24,8 +24,8 @@
     began_at = state.timers.now()
     state.fleet = FleetState(
         state.prompts.speeds,
-        expected=state.quotas.entries,
-        expected_until=began_at + MEETING_SECONDS,
+        assumed_entries=state.quotas.entries,
+        assumed_until=began_at + ASSUMED_SIZE_SECONDS,
     )
     state.grant_book = GrantBook()
     state.granted_prompts = PromptHistory(speeds=state.prompts.speeds)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
@@ -12,7 +12,7 @@
     words = state.words
     now = state.timers.now()
     words.untold = {}
-    known = words.table.words_since(0, now)
+    known = words.table.changes_since(0, now)
     if known:
         await link.send(encode(WordsReport(known)))
     while True:
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/totals.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/totals.py
@@ -13,7 +13,7 @@
     """Follow the sums over all other entries."""
     state.loads.others_running = others.running
     state.loads.others_prefill = others.prefill
-    state.loads.learn_failures(others.failed, now)
+    state.loads.add_remote_failures(others.failed, now)
 
 
 def follow_own_table(state: GatewayState) -> None:
@@ -25,4 +25,4 @@
     state.learn_given(given, report, now)
     state.learn_size(state.fleet.size(now))
     state.learn_speeds(state.fleet.speeds())
-    apply_totals(state, state.fleet.others(report.key, now), now)
+    apply_totals(state, state.fleet.totals_except(report.key, now), now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -6,11 +6,11 @@
 import cbor2
 import msgspec
 from spanfall_core.gateway.crashes.crashes import Standing
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.fleet import EntryReport, FleetTotals
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.reporting import REPORT_PERIOD
-from spanfall_core.gateway.known.unit_reports import GivenUnits
+from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.routing.estimates import Ask
 from spanfall_core.gateway.routing.grants import EntryLoad, Grant
 
@@ -160,11 +160,11 @@
     #: Sums over the other entries, for one that has to decide alone.
     totals: FleetTotals | None = None
     #: How fast the engines of each service read.
-    speeds: dict[str, ReadingSpeed] = {}
+    speeds: dict[str, PrefillSpeed] = {}
     #: Upstreams that each service needs, for a home that follows this one.
     needs: dict[str, float] = {}
     #: Units that this entry may spend; None: the sender may not give any.
-    given: GivenUnits | None = None
+    given: AllocatedUnits | None = None
     #: Whether the entry should look for another home.
     resigned: bool = False
     configuration: ConfigurationPart | None = None
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
@@ -1,13 +1,13 @@
 """Define the messages that tell what upstreams say of themselves."""
 
 import msgspec
-from spanfall_core.gateway.known.statements import Words
+from spanfall_core.gateway.known.statements import KnownStatements
 
 
 class WordsReport(msgspec.Struct, frozen=True, tag='words'):
     """Tell the home what an entry heard, all that it knows on a new link."""
 
-    words: Words
+    words: KnownStatements
 
 
 class WordsPart(msgspec.Struct, frozen=True):
@@ -15,4 +15,4 @@
 
     #: Version of the home's table with these words.
     version: int
-    words: Words
+    words: KnownStatements
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/ports.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/ports.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_core.gateway.known.configuration import ServedConfiguration
-from spanfall_core.gateway.known.listed import ListedUpstream, UnusableEntry
+from spanfall_core.gateway.known.listed import ListedUpstream, UnusableRecord
 from spanfall_core.gateway.known.statements import Statement
 
 Headers = list[tuple[bytes, bytes]]
@@ -139,6 +139,6 @@
     #: The item's content; raises InvalidRecordError.
     read_configuration: Callable[[bytes], ServedConfiguration]
     #: Key in the store and the item's content.
-    read_upstream: Callable[[str, bytes], ListedUpstream | UnusableEntry]
+    read_upstream: Callable[[str, bytes], ListedUpstream | UnusableRecord]
     #: Status and headers of an upstream's answer.
     read_statement: Callable[[int, Headers], Statement]
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
@@ -3,7 +3,7 @@
 import logging
 
 from spanfall_core.gateway.known.timelines import (
-    WRITTEN_AGAIN_SECONDS,
+    REWRITE_SECONDS,
     revision_of,
     timeline_of,
 )
@@ -44,23 +44,23 @@
             if state.configuration is None:
                 # That there is none is known as well: entries that hear it
                 # need not ask the store too, each on its own.
-                state.freshness.prove(began_at)
+                state.freshness.confirm(began_at)
             return
         version = state.version
         if not self._take_over(item.content):
             return
         self._note_writing(item, is_newer=state.version > version)
         if self._is_complete(began_at):
-            state.freshness.prove(began_at)
+            state.freshness.confirm(began_at)
 
-    def learn(self, source: bytes, proved_at: float) -> None:
+    def learn(self, source: bytes, confirmed_at: float) -> None:
         """Take over a configuration that was proved the newest at a time.
 
         Raises:
             InvalidRecordError: it is none.
         """
         if self._take_over(source):
-            self._state.freshness.prove(proved_at)
+            self._state.freshness.confirm(confirmed_at)
 
     def _take_over(self, source: bytes) -> bool:
         """Use a configuration; tell whether its version is no older one.
@@ -111,4 +111,4 @@
         store = self._store
         if not store.was_restored or self._written_on == store.timeline:
             return True
-        return began_at - store.timeline_since >= WRITTEN_AGAIN_SECONDS
+        return began_at - store.timeline_since >= REWRITE_SECONDS
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/crash_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/crash_record.py
@@ -9,7 +9,10 @@
 import anyio
 import msgspec
 from spanfall_core.gateway.known.identity import RequestIdentity
-from spanfall_core.gateway.known.reporting import report_period, unheard_after
+from spanfall_core.gateway.known.reporting import (
+    load_expires_after,
+    report_period,
+)
 
 from spanfall_node.gateway.links.crash_messages import Quarantined
 from spanfall_node.gateway.net.ports import Write
@@ -95,5 +98,5 @@
         state = self._state
         if state.tenure is not None:
             return False
-        silence = unheard_after(report_period(state.quotas.entries))
+        silence = load_expires_after(report_period(state.quotas.entries))
         return state.home is None or now - state.home_heard_at > silence
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
@@ -10,7 +10,7 @@
 from typing import TypeVar
 
 from spanfall_core.gateway.known.timelines import (
-    on_timeline,
+    combined_revision,
     revision_of,
     timeline_of,
 )
@@ -113,7 +113,7 @@
         page = await self._page(prefix, '')
         items = list(page.items)
         first = self.timeline
-        revision = on_timeline(first, page.revision)
+        revision = combined_revision(first, page.revision)
         while page.has_more and items:
             page = await self._page(prefix, items[-1].key)
             if self.timeline != first:
@@ -161,7 +161,9 @@
             raise ConditionFailedError
         if reply.status == 404:
             raise LeaseLostError
-        return on_timeline(timeline, _read(self._dialect.read_revision, reply))
+        return combined_revision(
+            timeline, _read(self._dialect.read_revision, reply)
+        )
 
     async def grant(self, timeline: int, seconds: float) -> int:
         """Return a new lease.
@@ -206,7 +208,7 @@
 
     def _placed(self, item: StoredItem) -> StoredItem:
         """Return an item just read, its revision with the timeline."""
-        revision = on_timeline(self.timeline, item.revision)
+        revision = combined_revision(self.timeline, item.revision)
         return replace(item, revision=revision)
 
     async def _page(self, prefix: str, after: str) -> Listing:
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 
 import anyio
-from spanfall_core.gateway.known.listed import ListedUpstream, UnusableEntry
+from spanfall_core.gateway.known.listed import ListedUpstream, UnusableRecord
 from spanfall_core.gateway.known.reporting import report_period
 
 from spanfall_node.gateway.links.succession_messages import HomeRecord
@@ -128,7 +128,7 @@
         self,
         revision: int,
         rows: list[ListedUpstream],
-        proved_at: float,
+        confirmed_at: float,
         outage_ended: float = NO_OUTAGE,
         unusable: Collection[str] = (),
     ) -> None:
@@ -139,7 +139,7 @@
         """
         now = self._state.timers.now()
         if revision >= self._state.directory.revision:
-            self._state.directory.prove(proved_at)
+            self._state.directory.confirm(confirmed_at)
         before = self._state.directory.rows.keys()
         changed = self._state.directory.apply(
             revision,
@@ -172,8 +172,10 @@
         state = self._state
         if state.tenure is not None:
             return True
-        proved_at = min(state.freshness.proved_at, state.directory.proved_at)
-        age = state.timers.now() - proved_at
+        confirmed_at = min(
+            state.freshness.confirmed_at, state.directory.confirmed_at
+        )
+        age = state.timers.now() - confirmed_at
         return age > old_proof(state.quotas.entries)
 
     async def _guarded_configuration(self) -> None:
@@ -213,7 +215,7 @@
         unusable: dict[str, int] = {}
         for item in items:
             entry = self._state.platform.read_upstream(item.key, item.content)
-            if isinstance(entry, UnusableEntry):
+            if isinstance(entry, UnusableRecord):
                 unusable[entry.upstream_id] = item.revision
                 self._note_unusable(entry, item.revision)
             else:
@@ -221,7 +223,7 @@
         self._unusable = unusable
         return rows, set(unusable)
 
-    def _note_unusable(self, entry: UnusableEntry, revision: int) -> None:
+    def _note_unusable(self, entry: UnusableRecord, revision: int) -> None:
         """Log and count an entry once for each change of it."""
         if self._unusable.get(entry.upstream_id) == revision:
             return
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/counters.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/counters.py
@@ -1,7 +1,7 @@
 """Count what a gateway does, with a counter for each reason."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
-from spanfall_core.gateway.known.statements import News
+from spanfall_core.gateway.known.statements import StatementChange
 from spanfall_core.reasons import RefusalReason, RetryReason
 
 from spanfall_node.metric_kinds import labelled_counter, reason_counter
@@ -62,7 +62,7 @@
             self.registry,
             'spanfall_upstream_statements',
             'What upstreams newly said of themselves in answers, by kind',
-            News,
+            StatementChange,
         )
         self.cuts = self._labelled(
             'spanfall_cut_answers',
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/new_state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/new_state.py
@@ -31,7 +31,7 @@
         counters=Counters(),
         freshness=Freshness(
             cfg.bounds.revoke_seconds,
-            binds=cfg.bounds.revocation_binds,
+            revocation_binds=cfg.bounds.revocation_binds,
         ),
         quotas=Quotas(entries=cfg.assumed_entries),
         retries=RetryBudget(
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -11,18 +11,18 @@
 )
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.engine_model import (
-    ReadingSpeed,
-    ReadingSums,
-    bounded_seconds,
-    reading_work,
+    PrefillSpeed,
+    PrefillSums,
+    clamp_wait,
+    prefill_work,
 )
 from spanfall_core.gateway.known.fleet import Counts, EntryReport, FleetState
 from spanfall_core.gateway.known.freshness import Freshness
-from spanfall_core.gateway.known.limits import Limit, LimitsInForce
+from spanfall_core.gateway.known.limits import EffectiveLimits, Limit
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.reporting import silent_after
 from spanfall_core.gateway.known.true_time import TrueTime
-from spanfall_core.gateway.known.unit_reports import GivenUnits
+from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.known.usage import UsageCounts
 from spanfall_core.gateway.limits.quotas import Quotas
 from spanfall_core.gateway.limits.shared_levels import SharedLevels
@@ -69,7 +69,7 @@
     granted_prompts: PromptHistory = field(default_factory=PromptHistory)
     fleet: FleetState = field(default_factory=FleetState)
     crashes: CrashKnowledge = field(default_factory=CrashKnowledge)
-    limits_in_force: LimitsInForce = field(default_factory=LimitsInForce)
+    limits_in_force: EffectiveLimits = field(default_factory=EffectiveLimits)
     shared_levels: SharedLevels = field(default_factory=SharedLevels)
     #: As the home: what runs everywhere.
     grant_book: GrantBook = field(default_factory=GrantBook)
@@ -90,7 +90,7 @@
     #: Work of reading that was sent to upstreams, by service, in tokens.
     read_work: Counts = field(default_factory=dict)
     #: What requests here showed of the speed of reading.
-    reading: dict[str, ReadingSums] = field(default_factory=dict)
+    reading: dict[str, PrefillSums] = field(default_factory=dict)
     #: Upstreams that each service needs, as the home says.
     needs: dict[str, float] = field(default_factory=dict)
     #: Whether the home says that another is to be looked for.
@@ -134,7 +134,7 @@
     def note_read_work(self, service: str, prefill: int) -> None:
         """Count the work of reading of a request that is sent."""
         known = self.read_work.get(service, 0)
-        self.read_work[service] = known + round(reading_work(prefill))
+        self.read_work[service] = known + round(prefill_work(prefill))
 
     def note_first_token(
         self,
@@ -143,13 +143,13 @@
         seconds: float,
     ) -> None:
         """Learn from a prompt that nothing else waited before."""
-        work = reading_work(prefill)
+        work = prefill_work(prefill)
         known = self.prompts.speed(service)
-        believed = bounded_seconds(seconds, known.seconds(work))
-        sums = self.reading.setdefault(service, ReadingSums())
+        believed = clamp_wait(seconds, known.seconds(work))
+        sums = self.reading.setdefault(service, PrefillSums())
         sums.add(work, believed)
 
-    def learn_speeds(self, speeds: dict[str, ReadingSpeed]) -> None:
+    def learn_speeds(self, speeds: dict[str, PrefillSpeed]) -> None:
         """Follow what the home learned of the speed of reading."""
         self.prompts.speeds = speeds
         self.granted_prompts.speeds = speeds
@@ -165,7 +165,7 @@
 
     def learn_report(self, report: EntryReport, now: float) -> None:
         """Take over the report of an entry as the home."""
-        self.fleet.learn(report, now)
+        self.fleet.add_report(report, now)
         self.shared_levels.learn(
             report.key,
             report.spending,
@@ -179,7 +179,7 @@
         is_known = self.shared_levels.knows(self.entry_key)
         return self.report(to_new_home=not is_known)
 
-    def give_units(self, entry: str, now: float) -> GivenUnits | None:
+    def give_units(self, entry: str, now: float) -> AllocatedUnits | None:
         """Return what an entry may spend, or None if this is not the home.
 
         Only the holder of the lease gives units, so no two homes give the
@@ -204,7 +204,7 @@
 
     def learn_given(
         self,
-        given: GivenUnits | None,
+        given: AllocatedUnits | None,
         report: EntryReport,
         now: float,
     ) -> None:
@@ -249,7 +249,7 @@
         self.note_home(None)
         now = self.timers.now()
         self.quotas.go_alone(self.limits_at(now), now)
-        self.loads.forget_others()
+        self.loads.reset_others()
 
     def pressed(self, now: float) -> dict[str, list[float]]:
         """Return what workspaces spent that use much of their limits."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -11,17 +11,19 @@
 from spanfall_core.gateway.known.backoffs import Backoffs
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.statements import (
-    News,
+    KnownStatements,
     Statement,
+    StatementChange,
     Statements,
-    Words,
 )
 from spanfall_core.gateway.limits.permits import Permits
 
 logger = logging.getLogger(__name__)
 
 #: What the other nodes are to know.
-TOLD = frozenset((News.LIMIT, News.NO_LIMIT, News.LEAVES))
+TOLD = frozenset(
+    (StatementChange.LIMIT, StatementChange.NO_LIMIT, StatementChange.LEAVES)
+)
 
 
 @dataclass(slots=True)
@@ -45,11 +47,11 @@
         now: float,
         *,
         is_signed: bool,
-    ) -> list[News]:
+    ) -> list[StatementChange]:
         """Take what an answer says that arrives now; return what is new."""
         if said.backoff:
-            self.backoffs.note(lifetime, said.backoff, now)
-        news = self.table.hear(
+            self.backoffs.record(lifetime, said.backoff, now)
+        news = self.table.record(
             lifetime,
             said,
             sent_at,
@@ -63,7 +65,7 @@
             self.heard = anyio.Event()
         return news
 
-    def learn(self, words: Words, now: float) -> list[Lifetime]:
+    def learn(self, words: KnownStatements, now: float) -> list[Lifetime]:
         """Take what another node knows; return what had not been known."""
         news = self.table.learn(words, now)
         for lifetime in news:
@@ -73,11 +75,11 @@
             self._follow(lifetime, now)
         return news
 
-    def take_untold(self, now: float) -> Words:
+    def take_untold(self, now: float) -> KnownStatements:
         """Return what the home may not know, once."""
         untold = self.untold
         self.untold = {}
-        return self.table.words(untold, now)
+        return self.table.known_statements(untold, now)
 
     def begin_tenure(self, now: float) -> None:
         """Give permits as a home that begins: there are none yet."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
@@ -61,7 +61,7 @@
         work.prompt_tokens,
         frozenset(exchange.tried),
         work.identity,
-        state.words.backoffs.named(state.timers.now()),
+        state.words.backoffs.newest(state.timers.now()),
     )
 
 
@@ -76,7 +76,9 @@
         return choice
     rows = state.directory.serving(service)
     untried = (row.lifetime for row in rows if row.lifetime not in ask.tried)
-    backoff = state.words.backoffs.first_end(untried, state.timers.now())
+    backoff = state.words.backoffs.seconds_until_first_end(
+        untried, state.timers.now()
+    )
     if backoff is None:
         return choice
     return ComeBack(backoff if choice is None else min(backoff, choice.seconds))
@@ -87,5 +89,5 @@
     now = state.timers.now()
     lifetimes = [row.lifetime for row in state.directory.serving(service)]
     if state.words.backoffs.active(now) >= set(lifetimes):
-        return state.words.backoffs.first_end(lifetimes, now)
+        return state.words.backoffs.seconds_until_first_end(lifetimes, now)
     return None
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -3,7 +3,10 @@
 import logging
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
-from spanfall_core.gateway.known.statements import News, Words
+from spanfall_core.gateway.known.statements import (
+    KnownStatements,
+    StatementChange,
+)
 
 from spanfall_node.gateway.net.client import AnswerHead
 from spanfall_node.gateway.tables.state import GatewayState
@@ -35,10 +38,10 @@
         state.timers.now(),
         is_signed=bool(head.header(state.platform.names.signature)),
     )
-    if News.LEAVES in news:
-        state.directory.note_words((lifetime,))
+    if StatementChange.LEAVES in news:
+        state.directory.apply_statements((lifetime,))
     if said.backoff:
-        news.append(News.BACK_OFF)
+        news.append(StatementChange.BACK_OFF)
     for one in news:
         state.counters.statements.labels(one.value).inc()
     if news:
@@ -51,7 +54,7 @@
         )
 
 
-def learn_words(state: GatewayState, words: Words) -> None:
+def learn_words(state: GatewayState, words: KnownStatements) -> None:
     """Take what another node knows of upstreams."""
     news = state.words.learn(words, state.timers.now())
-    state.directory.note_words(news)
+    state.directory.apply_statements(news)
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/dialect.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/dialect.py
@@ -13,7 +13,7 @@
     ServedWorkspace,
     ServiceShare,
 )
-from spanfall_core.gateway.known.listed import ListedUpstream, UnusableEntry
+from spanfall_core.gateway.known.listed import ListedUpstream, UnusableRecord
 from spanfall_core.gateway.known.statements import Statement, read_decimal
 from spanfall_core.gateway.known.timelines import read_timeline
 from spanfall_node.gateway.net.ports import (
@@ -174,11 +174,11 @@
     return ServedService(row.name, 100, scaling=Scaling(0, row.most, 1))
 
 
-def _read_upstream(key: str, source: bytes) -> ListedUpstream | UnusableEntry:
+def _read_upstream(key: str, source: bytes) -> ListedUpstream | UnusableRecord:
     try:
         return msgspec.json.decode(source, type=ListedUpstream)
     except ValueError as exc:
-        return UnusableEntry(key.removeprefix(UPSTREAM_PREFIX), str(exc))
+        return UnusableRecord(key.removeprefix(UPSTREAM_PREFIX), str(exc))
 
 
 def _read_statement(status: int, headers: Headers) -> Statement:
@@ -186,7 +186,7 @@
     rate = read_decimal(known.get(b'takes-a-second', b''))
     return Statement(
         rate=rate,
-        is_rate_unread=b'takes-a-second' in known and rate is None,
+        is_rate_invalid=b'takes-a-second' in known and rate is None,
         leaves=b'leaves' in known,
         backoff=read_decimal(known.get(b'back-off', b'')) or 0,
     )
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -12,7 +12,7 @@
 from itertools import count
 
 from spanfall_core.gateway.known.configuration import EngineLimits, Scaling
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import OfferedLoad, needed_upstreams
@@ -30,7 +30,7 @@
 #: An engine as fast as the deployments' fastest: with ``FULL_LOAD`` requests
 #: running and ``FULL_WORK`` tokens to read a second, six are busy.
 ENGINE = EngineLimits(slots=24, cache_tokens=700_000)
-SPEED = ReadingSpeed(0.03, 110_000)
+SPEED = PrefillSpeed(0.03, 110_000)
 FULL_LOAD = 60
 FULL_WORK = 170_000
 #: Engines without which answers of that load come late.
--- a/tests/quota_nodes.py
+++ b/tests/quota_nodes.py
@@ -3,8 +3,11 @@
 from dataclasses import dataclass, field
 
 from quota_traffic import Fate
-from spanfall_core.gateway.known.limits import Limit, LimitsInForce
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.limits import EffectiveLimits, Limit
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 from spanfall_core.gateway.limits.quotas import Quotas
 
 #: Units a second and at once, as of a large workspace of the deployments.
@@ -20,7 +23,7 @@
     """Hold what the home answered to a report, until it arrives."""
 
     due: int
-    given: GivenUnits | None
+    given: AllocatedUnits | None
     reported: EntrySpending
 
 
@@ -30,7 +33,7 @@
 
     name: str
     quotas: Quotas
-    limits: LimitsInForce = field(default_factory=LimitsInForce)
+    limits: EffectiveLimits = field(default_factory=EffectiveLimits)
     configured: Limit = LIMIT
     #: Step at which it learns the newest limit.
     learns_at: int = 0
@@ -83,7 +86,7 @@
         self.follows = 0
         self.table = None
         self.quotas = quotas
-        self.limits = LimitsInForce()
+        self.limits = EffectiveLimits()
 
     def heal(self, link_steps, now):
         """Be reached again; a long freeze has cost it the link."""
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -28,8 +28,8 @@
 #: A small workspace of the deployments.
 SMALL = Limit(rate=36_000, burst=126_420, window=WINDOW)
 #: What the platform tolerates beyond a limit.
-TOLERANCE = Tolerance(part=0.1, units=140_000)
-MOST = LIMIT.total * (1 + TOLERANCE.part) + TOLERANCE.units
+TOLERANCE = Tolerance(fraction=0.1, units=140_000)
+MOST = LIMIT.total * (1 + TOLERANCE.fraction) + TOLERANCE.units
 
 REPORT_STEPS = 5
 #: Steps until an entry finds that its link is dead, as ANSWER_SECONDS.
@@ -281,4 +281,4 @@
         since = end - 2 * WINDOW - APPLY_STEPS * STEP
         limits = [row for until, row in self.earlier if until >= since]
         total = max(limit.total for limit in (self.limit, *limits))
-        return total * (1 + TOLERANCE.part) + TOLERANCE.units
+        return total * (1 + TOLERANCE.fraction) + TOLERANCE.units
--- a/tests/test_gateway_asked_backoff.py
+++ b/tests/test_gateway_asked_backoff.py
@@ -14,7 +14,7 @@
 import anyio
 import pytest
 from gateway_world import ask, in_world
-from spanfall_core.gateway.known.backoffs import MOST_NAMED, Backoffs
+from spanfall_core.gateway.known.backoffs import MAX_AVOIDED_UPSTREAMS, Backoffs
 from spanfall_standins.gateway.upstream import refused, whole
 from test_gateway_home import two_gateways
 
@@ -130,20 +130,23 @@
 
 def test_backoffs_end_and_do_not_shrink():
     backoffs = Backoffs()
-    backoffs.note('a', 5, 0)
-    backoffs.note('b', 2, 0)
-    backoffs.note('a', 1, 1)
-    assert backoffs.named(1) == {'a', 'b'}
-    assert backoffs.first_end(['a', 'b', 'c'], 1) == 1
+    backoffs.record('a', 5, 0)
+    backoffs.record('b', 2, 0)
+    backoffs.record('a', 1, 1)
+    assert backoffs.newest(1) == {'a', 'b'}
+    assert backoffs.seconds_until_first_end(['a', 'b', 'c'], 1) == 1
     assert backoffs.active(2) == {'a'}
-    assert backoffs.first_end(['b'], 2) is None
-    assert not backoffs.named(5)
+    assert backoffs.seconds_until_first_end(['b'], 2) is None
+    assert not backoffs.newest(5)
 
 
 def test_the_home_is_told_the_latest():
     """A grant for one of the others is not used, as the entry knows it."""
     backoffs = Backoffs()
-    for number in range(2 * MOST_NAMED):
-        backoffs.note(f'u-{number}', 9, 0)
-    latest = {f'u-{after}' for after in range(MOST_NAMED, 2 * MOST_NAMED)}
-    assert backoffs.named(1) == latest
+    for number in range(2 * MAX_AVOIDED_UPSTREAMS):
+        backoffs.record(f'u-{number}', 9, 0)
+    latest = {
+        f'u-{after}'
+        for after in range(MAX_AVOIDED_UPSTREAMS, 2 * MAX_AVOIDED_UPSTREAMS)
+    }
+    assert backoffs.newest(1) == latest
--- a/tests/test_gateway_capacity.py
+++ b/tests/test_gateway_capacity.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from spanfall_core.gateway.known.configuration import EngineLimits, Scaling
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import (
@@ -181,7 +181,7 @@
 
 def test_a_jam_is_no_lasting_need():
     engine = EngineLimits(slots=10, cache_tokens=1)
-    speed = ReadingSpeed()
+    speed = PrefillSpeed()
     jam, full = OfferedLoad(running=300), OfferedLoad(running=30)
     waiting = needed_upstreams(engine, jam, speed, there=3)
     assert waiting == needed_upstreams(engine, full, speed, there=3)
--- a/tests/test_gateway_crash_signs.py
+++ b/tests/test_gateway_crash_signs.py
@@ -31,11 +31,11 @@
     )
 
 
-def listing(rows, revision=1, proved_at=0):
+def listing(rows, revision=1, confirmed_at=0):
     """Return what a node knows that has read this list at a time."""
     directory = Directory()
-    directory.apply(revision, rows, proved_at, NO_OUTAGE)
-    directory.prove(proved_at)
+    directory.apply(revision, rows, confirmed_at, NO_OUTAGE)
+    directory.confirm(confirmed_at)
     return directory
 
 
@@ -45,20 +45,20 @@
 
 
 def test_an_entry_that_went_shows_an_end():
-    directory = listing([upstream('u-1')], proved_at=1)
+    directory = listing([upstream('u-1')], confirmed_at=1)
     found = settle(doubted('u-1', 'u-2'), directory, HEARTBEAT, 1)
     assert found == Settled(ended=('u-2',))
 
 
 def test_an_older_list_tells_nothing():
-    directory = listing([upstream('u-1')], proved_at=1)
+    directory = listing([upstream('u-1')], confirmed_at=1)
     found = settle(doubted('u-2', since=2), directory, HEARTBEAT, 3)
     assert found == Settled()
 
 
 def test_another_one_at_its_address_shows_an_end():
     rows = [upstream('u-1', 'a:1'), upstream('u-2', 'a:1')]
-    found = settle(doubted('u-1'), listing(rows, proved_at=1), HEARTBEAT, 1)
+    found = settle(doubted('u-1'), listing(rows, confirmed_at=1), HEARTBEAT, 1)
     assert found == Settled(ended=('u-1',))
 
 
@@ -66,20 +66,20 @@
 def test_an_entry_that_stays_shows_a_life(heartbeat):
     rows = [upstream('u-1')]
     late = listed_seconds(heartbeat)
-    for proved_at, found in ((late - 0.1, Settled()), (late, None)):
+    for confirmed_at, found in ((late - 0.1, Settled()), (late, None)):
         expected = found or Settled(living=('u-1',))
-        directory = listing(rows, proved_at=proved_at)
+        directory = listing(rows, confirmed_at=confirmed_at)
         assert settle(doubted('u-1'), directory, heartbeat, late) == expected
 
 
 def test_an_upstream_that_begins_to_leave_lives():
-    directory = listing([upstream('u-1', leaving=True)], proved_at=1)
+    directory = listing([upstream('u-1', leaving=True)], confirmed_at=1)
     found = settle(doubted('u-1'), directory, HEARTBEAT, 1)
     assert found == Settled(living=('u-1',))
 
 
 def test_a_doubt_ends_though_the_store_stays_away():
-    directory = listing([upstream('u-1')], proved_at=0)
+    directory = listing([upstream('u-1')], confirmed_at=0)
     found = settle(doubted('u-1'), directory, HEARTBEAT, LONGEST_DOUBT)
     assert found == Settled(living=('u-1',))
 
--- a/tests/test_gateway_demand.py
+++ b/tests/test_gateway_demand.py
@@ -1,7 +1,7 @@
 """The need for engines: what callers offer, as a fading peak."""
 
 from spanfall_core.gateway.known.configuration import EngineLimits
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.orders.demand import (
     GOOD_BATCH,
     GOOD_READING,
@@ -24,14 +24,14 @@
 
 def test_need_counts_running_and_reading():
     engine = EngineLimits(slots=32, cache_tokens=1)
-    speed = ReadingSpeed(rate=60_000)
+    speed = PrefillSpeed(rate=60_000)
     work_rate = 2 * speed.rate * GOOD_READING
     reading = OfferedLoad(work_rate=work_rate)
     both = OfferedLoad(5 * engine.slots * GOOD_BATCH, work_rate)
     assert needed_upstreams(engine, OfferedLoad(), speed, there=9) == 0
     assert 1.9 < needed_upstreams(engine, reading, speed, there=9) < 2.1
     assert 6.9 < needed_upstreams(engine, both, speed, there=9) < 7.1
-    faster = ReadingSpeed(rate=120_000)
+    faster = PrefillSpeed(rate=120_000)
     assert 5.9 < needed_upstreams(engine, both, faster, there=9) < 6.1
 
 
--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -30,12 +30,12 @@
 
 
 @given(LISTINGS, st.integers(0, 11))
-def test_changes_lead_to_the_same_rows(listings, heard_until):
+def test_entry_catches_up_from_delta(listings, last_applied):
     """An entry that missed some listings follows by what changed since."""
     home, entry = Directory(), Directory()
     for number, states in enumerate(listings):
         home.apply(number + 1, listed(states), 0, NO_OUTAGE)
-        if number <= heard_until:
+        if number <= last_applied:
             entry.apply(number + 1, listed(states), 0, NO_OUTAGE)
     change = home.changes_since(entry.revision)
     entry.apply(home.revision, entry.with_change(change), 0, NO_OUTAGE)
@@ -43,9 +43,9 @@
     assert entry.digest == home.digest
 
 
-def tell(home, entry):
+def sync_entry(home, entry):
     """Let an entry report and learn what the home tells it."""
-    known = entry.told_revision
+    known = entry.delta_base
     if entry.digest == home.digest:
         return
     if not known:
@@ -54,10 +54,10 @@
         return
     rows = entry.with_change(home.changes_since(known))
     entry.apply(home.revision, rows, 0, NO_OUTAGE)
-    entry.compare(home.digest)
+    entry.check_digest(home.digest)
 
 
-def test_what_an_entry_kept_after_an_outage_goes():
+def test_entry_drops_row_retained_after_outage():
     """The home has seen the end before the entry's own listing.
 
     The entry kept it as lapsed; no change since then removed it, and five
@@ -70,7 +70,7 @@
     entry.apply(6, ROWS[1:], 1.2, 1.1)
     assert 'u-0' in entry.rows
     home.apply(8, ROWS[1:], 1.6, NO_OUTAGE)
-    tell(home, entry)
+    sync_entry(home, entry)
     assert 'u-0' not in entry.rows
 
 
@@ -79,15 +79,15 @@
     st.lists(st.booleans(), min_size=12, max_size=12),
     st.lists(st.sampled_from(['', 'reads', 'late']), min_size=12, max_size=12),
 )
-def test_an_entry_knows_what_the_home_knows(listings, lapses, own):
+def test_entry_converges_to_rows_of_home(listings, outages, entry_reads):
     """Both may keep what lapsed; two reports later they know the same."""
     home, entry = Directory(), Directory()
     for number, states in enumerate(listings):
         now = 10 * number
-        outage = now - 1 if lapses[number] else NO_OUTAGE
+        outage = now - 1 if outages[number] else NO_OUTAGE
         home.apply(2 * number + 1, listed(states), now, outage)
-        if own[number]:
-            late = own[number] == 'late'
+        if entry_reads[number]:
+            late = entry_reads[number] == 'late'
             entry.apply(
                 2 * number + 1 + late,
                 listed(states),
@@ -96,13 +96,13 @@
             )
     final = 2 * len(listings) + 5
     home.apply(final, listed(listings[-1]), 10 * len(listings), NO_OUTAGE)
-    tell(home, entry)
-    tell(home, entry)
+    sync_entry(home, entry)
+    sync_entry(home, entry)
     assert entry.rows.keys() <= home.rows.keys()
     assert all(home.rows[key] == row for key, row in entry.rows.items())
 
 
-def test_only_what_changed_is_told():
+def test_delta_holds_only_changed_rows():
     home = Directory()
     home.apply(1, ROWS, 0, NO_OUTAGE)
     leaving = replace(ROWS[1], leaving=True)
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.loads import Loads
-from spanfall_core.gateway.known.reporting import UNHEARD_SECONDS
+from spanfall_core.gateway.known.reporting import LOAD_EXPIRY_SECONDS
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
 from spanfall_core.gateway.routing.estimates import Ask
 from spanfall_core.gateway.routing.grants import (
@@ -71,7 +71,7 @@
     book = GrantBook()
     book.learn('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
     book.grant('e', Grant(1, 'u-1', 5))
-    book.forget_silent(UNHEARD_SECONDS + 1)
+    book.forget_silent(LOAD_EXPIRY_SECONDS + 1)
     assert not book.running
     assert not book.prefill
 
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -137,7 +137,7 @@
     upstream = await world.add_upstream(whole())
     await wait_until(lambda: upstream.lifetime in other.directory.rows)
     home.directory.apply = lambda *_: ()
-    home.directory.prove = lambda _: None
+    home.directory.confirm = lambda _: None
     world.store.remove(f'{UPSTREAM_PREFIX}{upstream.lifetime}')
     await wait_until(lambda: upstream.lifetime not in other.directory.rows)
     assert other.freshness.may_serve_keys(other.timers.now())
@@ -283,4 +283,4 @@
     await wait_until(lambda: state.tenure is not None)
     began_at = state.tenure.began_at
     await wait_until(lambda: state.configuration is not None)
-    assert state.freshness.proved_at - began_at < START_SECONDS
+    assert state.freshness.confirmed_at - began_at < START_SECONDS
--- a/tests/test_gateway_lifetimes.py
+++ b/tests/test_gateway_lifetimes.py
@@ -16,7 +16,7 @@
 
 NO_OUTAGE = float('-inf')
 ROW = ListedUpstream('u-1', 'llm', '10.0.0.1:80', 'north', slots=8, born=1000)
-AGAIN = replace(ROW, born=2000)
+RESTARTED = replace(ROW, born=2000)
 OTHER = replace(ROW, upstream_id='u-2', address='10.0.0.2:80')
 
 
@@ -33,36 +33,36 @@
     return {row.lifetime for row in known.serving('llm')}
 
 
-def test_a_later_start_gets_work_at_once():
-    known = directory([ROW, OTHER], [OTHER], [AGAIN, OTHER])
-    assert serving(known) == {AGAIN.lifetime, OTHER.lifetime}
+def test_later_start_serves_at_once():
+    known = directory([ROW, OTHER], [OTHER], [RESTARTED, OTHER])
+    assert serving(known) == {RESTARTED.lifetime, OTHER.lifetime}
 
 
-def test_a_later_start_replaces_an_earlier_one():
-    known = directory([ROW], [AGAIN])
-    assert serving(known) == {AGAIN.lifetime}
+def test_later_start_replaces_earlier_one():
+    known = directory([ROW], [RESTARTED])
+    assert serving(known) == {RESTARTED.lifetime}
     assert known.changes_since(1).removed == (ROW.lifetime,)
 
 
-def test_a_lifetime_that_is_over_stays_over():
-    known = directory([ROW], [AGAIN], [ROW])
+def test_ended_lifetime_does_not_return():
+    known = directory([ROW], [RESTARTED], [ROW])
     assert not serving(known)
 
 
-def test_a_start_without_its_time_gets_no_work():
-    known = directory([AGAIN], [replace(ROW, born=None)], [AGAIN])
-    assert serving(known) == {AGAIN.lifetime}
+def test_start_without_time_does_not_serve():
+    known = directory([RESTARTED], [replace(ROW, born=None)], [RESTARTED])
+    assert serving(known) == {RESTARTED.lifetime}
 
 
-def test_an_earlier_start_pauses_the_later_one():
-    known = directory([ROW], [AGAIN])
+def test_earlier_start_pauses_later_one():
+    known = directory([ROW], [RESTARTED])
     known.apply(3, [ROW, OTHER], 3, NO_OUTAGE)
     assert serving(known) == {OTHER.lifetime}
-    known.apply(4, [AGAIN, OTHER], 4, NO_OUTAGE)
-    assert serving(known) == {AGAIN.lifetime, OTHER.lifetime}
+    known.apply(4, [RESTARTED, OTHER], 4, NO_OUTAGE)
+    assert serving(known) == {RESTARTED.lifetime, OTHER.lifetime}
 
 
-def test_an_unusable_entry_pauses_its_upstream():
+def test_unusable_record_pauses_its_upstream():
     known = directory([ROW, OTHER])
     known.apply(2, [OTHER], 2, NO_OUTAGE, {'u-1'})
     assert serving(known) == {OTHER.lifetime}
@@ -70,7 +70,7 @@
     assert serving(known) == {ROW.lifetime, OTHER.lifetime}
 
 
-def test_a_paused_upstream_that_goes_is_over():
+def test_removed_paused_upstream_has_ended():
     known = directory([ROW])
     known.apply(2, [], 2, NO_OUTAGE, {'u-1'})
     known.apply(3, [], 3, NO_OUTAGE)
@@ -78,17 +78,17 @@
     assert not serving(known)
 
 
-def test_what_lapsed_is_back_with_another_start():
+def test_retained_row_is_replaced_by_later_start():
     known = directory([ROW, OTHER])
     known.apply(2, [], 10, 9.5)
     assert serving(known) == {ROW.lifetime, OTHER.lifetime}
-    known.apply(3, [AGAIN], 10.5, 9.5)
-    assert serving(known) == {AGAIN.lifetime, OTHER.lifetime}
-    known.apply(4, [AGAIN], 12, 9.5)
-    assert serving(known) == {AGAIN.lifetime}
+    known.apply(3, [RESTARTED], 10.5, 9.5)
+    assert serving(known) == {RESTARTED.lifetime, OTHER.lifetime}
+    known.apply(4, [RESTARTED], 12, 9.5)
+    assert serving(known) == {RESTARTED.lifetime}
 
 
-def test_entries_learn_which_upstreams_are_paused():
+def test_delta_carries_paused_upstreams():
     home = directory([ROW, OTHER])
     entry = directory([ROW, OTHER])
     home.apply(2, [OTHER], 2, NO_OUTAGE, {'u-1'})
@@ -98,18 +98,18 @@
     assert entry.digest == home.digest
 
 
-def test_a_late_end_does_not_touch_the_next():
+def test_late_end_does_not_affect_next_lifetime():
     loads, prefixes = Loads(), PrefixIndex()
     parts = (PromptPart('a', 100),)
     loads.begin(ROW.lifetime, 50)
     loads.fail(ROW.lifetime, 0)
     prefixes.remember(ROW.lifetime, parts)
-    loads.begin(AGAIN.lifetime, 70)
+    loads.begin(RESTARTED.lifetime, 70)
     loads.end(ROW.lifetime)
-    assert loads.running_at(AGAIN.lifetime) == 1
-    assert loads.prefill_at(AGAIN.lifetime) == 70
-    assert not loads.failures_at(AGAIN.lifetime, 0)
-    assert not prefixes.cached_tokens(AGAIN.lifetime, parts)
+    assert loads.running_at(RESTARTED.lifetime) == 1
+    assert loads.prefill_at(RESTARTED.lifetime) == 70
+    assert not loads.failures_at(RESTARTED.lifetime, 0)
+    assert not prefixes.cached_tokens(RESTARTED.lifetime, parts)
 
 
 STARTS = st.lists(
@@ -124,7 +124,7 @@
 
 
 @given(STARTS)
-def test_only_the_latest_start_ever_gets_work(listings):
+def test_only_latest_start_serves(listings):
     """Any order of starts, garbage and gaps; entries follow by changes."""
     home, entry = Directory(), Directory()
     latest: dict[str, int] = {}
@@ -140,8 +140,8 @@
                 rows.append(row)
                 latest[upstream_id] = max(born, latest.get(upstream_id, 0))
         home.apply(number + 1, rows, number, NO_OUTAGE, unusable)
-        told = entry.with_change(home.changes_since(entry.revision))
-        entry.apply(home.revision, told, number, NO_OUTAGE)
+        rows_of_entry = entry.with_change(home.changes_since(entry.revision))
+        entry.apply(home.revision, rows_of_entry, number, NO_OUTAGE)
         listed = {row.lifetime for row in rows}
         for row in home.serving('llm'):
             assert row.lifetime in listed
@@ -149,7 +149,7 @@
         assert entry.digest == home.digest
 
 
-def list_again(world, upstream_id, address, born):
+def list_restarted(world, upstream_id, address, born):
     """Let an upstream start again and write its entry."""
     row = ListedUpstream(upstream_id, SERVICE, address, 'north', 4, born=born)
     content = msgspec.json.encode(row).decode()
@@ -157,7 +157,7 @@
 
 
 @in_world
-async def test_an_entry_that_errs_hides_no_other(world):
+async def test_malformed_record_hides_no_other(world):
     """The home lists the others; the entry is counted once a change."""
     upstream = await world.add_upstream(whole())
     world.store.put(f'{UPSTREAM_PREFIX}u-x', '[]')
@@ -172,7 +172,7 @@
 
 
 @in_world
-async def test_an_upstream_that_starts_again_is_used(world):
+async def test_restarted_upstream_serves(world):
     """It is listed, gone, and listed again under its id."""
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
@@ -180,7 +180,7 @@
     address = next(iter(state.directory.rows.values())).address
     world.store.remove(key)
     await wait_until(lambda: not state.directory.rows)
-    list_again(world, upstream.lifetime, address, 2000)
+    list_restarted(world, upstream.lifetime, address, 2000)
     await wait_until(lambda: bool(state.directory.serving(SERVICE)))
     assert (await ask(state, '/once/7')).status == 200
     seen = upstream.seen[-1].headers
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -10,8 +10,8 @@
 from spanfall_core.gateway.known.lifetimes import name_lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.prefixes import PromptPart
-from spanfall_core.gateway.known.statements import KnownWord
-from spanfall_core.gateway.known.unit_reports import GivenUnits
+from spanfall_core.gateway.known.statements import KnownStatement
+from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.routing.estimates import Ask
 from spanfall_core.gateway.routing.grants import EntryLoad, Grant
 from spanfall_node.gateway.links.crash_messages import (
@@ -49,7 +49,7 @@
     IDENTITY,
     frozenset((LIFETIME,)),
 )
-WORDS = {LIFETIME: KnownWord(0.5, 2.5, leaves=True)}
+WORDS = {LIFETIME: KnownStatement(0.5, 2.5, leaves=True)}
 FROM_ENTRY = [
     ReportMessage(EntryReport('n', 'i', {LIFETIME: 2}), 3, 4, 5, seen=6),
     LoadMessage('n/i', LOAD),
@@ -75,7 +75,7 @@
         upstreams_age=0.25,
         true_time=1.5,
         totals=FleetTotals({LIFETIME: 2}),
-        given=GivenUnits({'w': 2.5}),
+        given=AllocatedUnits({'w': 2.5}),
         upstreams=UpstreamsPart(6, (ROW,), (LIFETIME,), is_change=True),
         words=WordsPart(4, WORDS),
     ),
--- a/tests/test_gateway_order_patterns.py
+++ b/tests/test_gateway_order_patterns.py
@@ -152,12 +152,12 @@
     for second in range(5):
         directory.apply(second + 1, rows, second, float('-inf'))
     demand = Demand()
-    demand.find(50, directory.grown_at('llm'), 5)
+    demand.find(50, directory.last_added_at('llm'), 5)
     assert demand.is_complete(5)
     more = [*rows, replace(rows[0], upstream_id='u-50')]
     directory.apply(9, more, 6, float('-inf'))
     late = Demand()
-    late.find(51, directory.grown_at('llm'), 6)
+    late.find(51, directory.last_added_at('llm'), 6)
     assert not late.is_complete(6)
 
 
--- a/tests/test_gateway_quotas.py
+++ b/tests/test_gateway_quotas.py
@@ -12,9 +12,12 @@
     TOLERANCE,
     WINDOW,
 )
-from spanfall_core.gateway.known.limits import LimitsInForce
+from spanfall_core.gateway.known.limits import EffectiveLimits
 from spanfall_core.gateway.known.reporting import SILENT_SECONDS
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
 from spanfall_core.gateway.limits.quotas import DENIED_SECONDS, Quotas
 from spanfall_core.gateway.limits.shared_levels import (
@@ -68,7 +71,7 @@
 
 def give(entry, units, left=LIMIT.total, since=None):
     """Let a home give an entry units, of so many that are left."""
-    row = GivenUnits({'large': units}, {}, {'large': left})
+    row = AllocatedUnits({'large': units}, {}, {'large': left})
     entry.learn_given(row, since or EntrySpending(), LIMITS, 0)
 
 
@@ -277,7 +280,7 @@
 
 def test_a_lower_limit_binds_a_window_later():
     """A span is held to the limits that were in force during it."""
-    limits = LimitsInForce()
+    limits = EffectiveLimits()
     lower = {'large': replace(LIMIT, rate=LIMIT.rate / 4)}
     assert limits.at(LIMITS, 0) == LIMITS
     assert limits.at(lower, START) == LIMITS
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -3,7 +3,7 @@
 from itertools import product
 
 import pytest
-from spanfall_core.gateway.known.spending import SLOT_SECONDS
+from spanfall_core.gateway.known.spending import BUCKET_SECONDS
 from spanfall_core.gateway.routing.retry_budget import RetryBudget, RetryLimits
 
 #: As of the deployments: a fifth of the requests, and 54 in any 10 s.
@@ -64,4 +64,4 @@
     for second in range(1000):
         budget.earn('llm', second / 2)
     kept = budget._sent['llm'].first._slots
-    assert len(kept) <= LIMITS.window / SLOT_SECONDS + 1
+    assert len(kept) <= LIMITS.window / BUCKET_SECONDS + 1
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -181,11 +181,11 @@
     directory = Directory(said)
     directory.apply(1, [LISTED], 0, float('-inf'))
     known = directory.serving(SERVICE)
-    directory.note_words([LISTED.lifetime])
+    directory.apply_statements([LISTED.lifetime])
     assert directory.serving(SERVICE) is known
     digest = directory.digest
     said.add(LISTED.lifetime)
-    directory.note_words(['u-2', LISTED.lifetime])
+    directory.apply_statements(['u-2', LISTED.lifetime])
     assert not directory.serving(SERVICE)
     for revision in (1, 2, 3):
         directory.apply(revision, [LISTED], revision, float('-inf'))
--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -3,18 +3,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from spanfall_core.gateway.known.statements import (
-    KnownWord,
-    News,
+    KnownStatement,
     Statement,
+    StatementChange,
     Statements,
 )
 
 UPSTREAM = 'u-1'
 
 
-def hear(table, now, sent_at=None, *, is_signed=True, **said):
+def record(table, now, sent_at=None, *, is_signed=True, **said):
     sent_at = now if sent_at is None else sent_at
-    return table.hear(
+    return table.record(
         UPSTREAM,
         Statement(**said),
         sent_at,
@@ -23,55 +23,63 @@
     )
 
 
-def test_a_limit_stands_until_it_is_taken_back():
+def test_limit_stands_until_withdrawn():
     table = Statements()
-    assert hear(table, 1, rate=2) == [News.LIMIT]
-    assert hear(table, 2, rate=2) == []
+    assert record(table, 1, rate=2) == [StatementChange.LIMIT]
+    assert record(table, 2, rate=2) == []
     assert table.rates == {UPSTREAM: 2}
-    assert hear(table, 3) == [News.NO_LIMIT]
+    assert record(table, 3) == [StatementChange.NO_LIMIT]
     assert not table.rates
 
 
-def test_only_a_later_run_takes_a_limit_back():
+def test_only_later_run_withdraws_limit():
     """An answer under way, a refusal and a broken header take none back."""
     table = Statements()
-    hear(table, 1, rate=2)
-    assert not hear(table, 2, sent_at=0.5)
-    assert not hear(table, 2, is_signed=False)
-    assert hear(table, 2, is_rate_unread=True) == [News.UNREAD_LIMIT]
+    record(table, 1, rate=2)
+    assert not record(table, 2, sent_at=0.5)
+    assert not record(table, 2, is_signed=False)
+    assert record(table, 2, is_rate_invalid=True) == [
+        StatementChange.INVALID_LIMIT
+    ]
     assert table.rates == {UPSTREAM: 2}
 
 
-def test_it_leaves_for_good():
+def test_leaving_is_permanent():
     table = Statements()
-    assert hear(table, 1, leaves=True) == [News.LEAVES]
-    assert not hear(table, 2)
-    assert not table.learn({UPSTREAM: KnownWord()}, 3)
+    assert record(table, 1, leaves=True) == [StatementChange.LEAVES]
+    assert not record(table, 2)
+    assert not table.learn({UPSTREAM: KnownStatement()}, 3)
     assert table.leaving == {UPSTREAM}
 
 
-def test_the_later_word_counts_in_any_order():
-    words = [KnownWord(5, 3), KnownWord(None, 2), KnownWord(1, 1)]
-    for order in (words, list(reversed(words))):
+def test_latest_statement_wins_in_any_order():
+    statements = [
+        KnownStatement(5, 3),
+        KnownStatement(None, 2),
+        KnownStatement(1, 1),
+    ]
+    for order in (statements, list(reversed(statements))):
         table = Statements()
-        for word in order:
-            table.learn({UPSTREAM: word}, 10)
+        for statement in order:
+            table.learn({UPSTREAM: statement}, 10)
         assert table.rates == {UPSTREAM: 1}
 
 
-def test_another_node_asks_for_what_is_new():
+def test_changes_since_version():
     table = Statements()
-    hear(table, 1, rate=2)
+    record(table, 1, rate=2)
     known = table.version
-    assert table.words_since(0, 3) == {UPSTREAM: KnownWord(2, 2)}
-    assert not table.words_since(known, 3)
-    hear(table, 4, leaves=True, rate=2)
-    assert table.words_since(known, 4) == {UPSTREAM: KnownWord(2, 3, True)}
+    assert table.changes_since(0, 3) == {UPSTREAM: KnownStatement(2, 2)}
+    assert not table.changes_since(known, 3)
+    record(table, 4, leaves=True, rate=2)
+    assert table.changes_since(known, 4) == {
+        UPSTREAM: KnownStatement(2, 3, True)
+    }
     table.forget(UPSTREAM)
-    assert not table.words_since(0, 5)
+    assert not table.changes_since(0, 5)
 
 
-WORDS = st.lists(
+STATEMENTS = st.lists(
     st.tuples(
         st.sampled_from(('u-1', 'u-2')),
         st.sampled_from((None, 0.5, 2.0)),
@@ -81,16 +89,16 @@
 )
 
 
-@given(WORDS, WORDS)
-def test_two_nodes_agree_once_both_have_told(here, there):
+@given(STATEMENTS, STATEMENTS)
+def test_nodes_agree_after_exchange(here, there):
     """Whoever heard what: after both have told, both withhold the same."""
     tables = [Statements(), Statements()]
     now = 0
-    for table, heard in zip(tables, (here, there), strict=True):
-        for lifetime, rate, leaves in heard:
+    for table, received in zip(tables, (here, there), strict=True):
+        for lifetime, rate, leaves in received:
             now += 1
             said = Statement(rate=rate, leaves=leaves)
-            table.hear(lifetime, said, now, now, is_signed=True)
+            table.record(lifetime, said, now, now, is_signed=True)
     first, second = tables
     second.learn(first.words_since(0, now), now)
     first.learn(second.words_since(0, now), now)
--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -8,7 +8,7 @@
 import pytest
 from gateway_world import SERVICE, ask, in_world
 from spanfall_core.gateway.known.listed import ListedUpstream
-from spanfall_core.gateway.known.timelines import WRITTEN_AGAIN_SECONDS
+from spanfall_core.gateway.known.timelines import REWRITE_SECONDS
 from spanfall_node.gateway.net.pool import ConnectionPool
 from spanfall_node.gateway.store.store_client import (
     StoreClient,
@@ -155,7 +155,7 @@
     restored_at = state.timers.now()
     await wait_until(lambda: serves_keys(state))
     waited = state.timers.now() - restored_at
-    assert waited > WRITTEN_AGAIN_SECONDS - 0.1
+    assert waited > REWRITE_SECONDS - 0.1
 
 
 def serves_keys(state):
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -8,8 +8,11 @@
 import pytest
 from gateway_world import ask, in_world
 from spanfall_core.gateway.known.limits import Limit
-from spanfall_core.gateway.known.spending import SLOT_SECONDS
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.spending import BUCKET_SECONDS
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 from spanfall_core.gateway.limits.quotas import Quotas
 from spanfall_node.gateway.limits.unit_requests import (
     UNITS_SECONDS,
@@ -38,7 +41,7 @@
 def entry_that_holds(units):
     """Return the state of an entry to which a home gave so many units."""
     quotas = Quotas()
-    given = GivenUnits({'w': units}, {}, {'w': 100})
+    given = AllocatedUnits({'w': units}, {}, {'w': 100})
     quotas.learn_given(given, EntrySpending(), LIMITS, 0)
     return SimpleNamespace(
         quotas=quotas,
@@ -119,7 +122,7 @@
     states = [await world.add_gateway(**bounds) for _ in range(2)]
     await wait_until(lambda: all(row.quotas.entries == 2 for row in states))
     # Until then a new home takes a part of the limit as spent.
-    await anyio.sleep(WINDOW + SLOT_SECONDS)
+    await anyio.sleep(WINDOW + BUCKET_SECONDS)
     return sorted(states, key=lambda row: row.tenure is None)
 
 
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -20,11 +20,11 @@
 LEASE = 0.5
 BOUNDS = {'usage_window_seconds': WINDOW, 'duty_lease_seconds': LEASE}
 #: Reports before the home ends, and seconds in which the next one makes some.
-REPORTS = 3
-SECONDS = 8
+REPORTS_BEFORE_RESTORE = 3
+RUN_SECONDS = 8
 
 
-async def call_all_along(state):
+async def send_requests(state):
     """Send requests to an entry until cancelled."""
     number = 0
     while True:
@@ -43,7 +43,7 @@
     return reports
 
 
-async def served_world(world):
+async def add_workspace_and_upstream(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
 
@@ -51,24 +51,26 @@
 # Guards against a window that is reported again with other counts, since the
 # record of the first report is lost.
 @in_world
-async def test_a_new_home_after_a_restore(world):
-    await served_world(world)
+async def test_new_home_after_restore(world):
+    await add_workspace_and_upstream(world)
     async with ending_gateway(world, **BOUNDS) as (first, life):
         await wait_until(lambda: is_home(first))
         copy = world.store.copy()
         other = await world.add_gateway(**BOUNDS)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(call_all_along, first)
-            tasks.start_soon(call_all_along, other)
-            await wait_until(lambda: len(world.cloud_calls) >= REPORTS)
+            tasks.start_soon(send_requests, first)
+            tasks.start_soon(send_requests, other)
+            await wait_until(
+                lambda: len(world.cloud_calls) >= REPORTS_BEFORE_RESTORE
+            )
             tasks.cancel_scope.cancel()
         life.cancel()
     world.store.restore(copy)
     reported = len(world.cloud_calls)
     await wait_until(lambda: is_home(other))
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(call_all_along, other)
-        await anyio.sleep(SECONDS)
+        tasks.start_soon(send_requests, other)
+        await anyio.sleep(RUN_SECONDS)
         tasks.cancel_scope.cancel()
     assert len(world.cloud_calls) > reported
     reports = counts_by_window(world)
@@ -77,16 +79,18 @@
 
 # Guards against windows that the home leaves out though it knows what it sent.
 @in_world
-async def test_the_same_home_after_a_restore(world):
-    await served_world(world)
+async def test_same_home_after_restore(world):
+    await add_workspace_and_upstream(world)
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     copy = world.store.copy()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(call_all_along, home)
-        await wait_until(lambda: len(world.cloud_calls) >= REPORTS)
+        tasks.start_soon(send_requests, home)
+        await wait_until(
+            lambda: len(world.cloud_calls) >= REPORTS_BEFORE_RESTORE
+        )
         world.store.restore(copy)
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(RUN_SECONDS)
         tasks.cancel_scope.cancel()
     reports = counts_by_window(world)
     assert USAGE_KEY in world.store.items
@@ -97,7 +101,7 @@
 # Guards against the first home of a fleet that takes itself for one that has
 # reported nothing yet.
 @in_world
-async def test_the_first_home_has_reported(world):
+async def test_first_home_resumes_after_reported_windows(world):
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     async with store_client(world) as store:
