--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -66,12 +66,12 @@
     ]
     clock = count(0, 0.25 / nodes)
     for received in sent:
-        fleet.add_report(decode_from_entry(received).report, next(clock))
+        fleet.apply_report(decode_from_entry(received).report, next(clock))
     began = time.process_time()
     for received in sent:
         now = next(clock)
         report = decode_from_entry(received).report
-        fleet.add_report(report, now)
+        fleet.apply_report(report, now)
         totals = fleet.totals_except(report.key, now)
         encode(TableMessage(1, 1, 0.1, 0.1, now, totals))
     return (time.process_time() - began) / nodes * MICROSECONDS
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the fleet shows: upstreams, configuration, loads, speeds, spending."""
+"""Gateway tables: upstreams, configuration, load, prefill speed, limits."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/backoffs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/backoffs.py
@@ -1,4 +1,7 @@
-"""Keep the back-offs that upstreams ask one entry for, by its steady clock."""
+"""Track the back-offs that upstreams request from one entry.
+
+End times are read from the steady clock.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Set as AbstractSet
@@ -7,30 +10,30 @@
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Avoided upstreams that a question to the home names, the latest; an entry
-#: uses no grant for the others.
+#: Maximum number of backed-off upstreams, newest first, that a grant request
+#: lists; the entry declines grants for the others.
 MAX_AVOIDED_UPSTREAMS = 64
 
 
 @dataclass(slots=True)
 class Backoffs:
-    """Hold until when upstreams want nothing from this entry.
+    """Store when the back-off of each upstream ends.
 
-    A back-off is no failure: after it the upstream is served as before.
+    A back-off is not a failure: once it ends, the upstream is used as before.
     """
 
     _ends_at: dict[Lifetime, float] = field(default_factory=dict)
-    #: When the first of them ends.
+    #: Earliest end of any back-off.
     _earliest_end: float = float('inf')
 
     def record(self, lifetime: Lifetime, seconds: float, now: float) -> None:
-        """Note that an upstream wants nothing for so long from now."""
+        """Start or extend a back-off of an upstream."""
         ends_at = max(now + seconds, self._ends_at.pop(lifetime, now))
         self._ends_at[lifetime] = ends_at
         self._earliest_end = min(self._earliest_end, ends_at)
 
     def active(self, now: float) -> AbstractSet[Lifetime]:
-        """Return the upstreams that want nothing now, the latest last."""
+        """Return the upstreams that are backing off now, latest record last."""
         if now >= self._earliest_end:
             self._ends_at = {
                 lifetime: ends_at
@@ -42,7 +45,7 @@
         return self._ends_at.keys()
 
     def newest(self, now: float) -> frozenset[Lifetime]:
-        """Return those of them that the home is told with a question."""
+        """Return the newest back-offs, to be listed in a grant request."""
         if not self.active(now):
             return frozenset()
         return frozenset(islice(reversed(self._ends_at), MAX_AVOIDED_UPSTREAMS))
@@ -52,9 +55,9 @@
         lifetimes: Iterable[Lifetime],
         now: float,
     ) -> float | None:
-        """Return the seconds until the first of some back-offs ends.
+        """Return the seconds until the first back-off of some upstreams ends.
 
-        None: none of those upstreams asked for one.
+        Return None if none of these upstreams is backing off.
         """
         avoided = self.active(now)
         ends = (self._ends_at[one] for one in lifetimes if one in avoided)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/configuration.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/configuration.py
@@ -1,7 +1,7 @@
-"""Hold the configuration that a gateway serves, and look things up in it.
+"""Represent and index the configuration that a gateway serves.
 
-Times are seconds, sizes are bytes. A configuration is read only once it is
-built; a newer one replaces it as a whole.
+Times are in seconds, sizes in bytes. A configuration is immutable once built;
+a newer version replaces it as a whole.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 @unique
 class RouteKind(StrEnum):
-    """Tell how often a request of a route may run."""
+    """State whether a request of a route may run more than once."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """Give a service its weight in the split of a route."""
+    """Assign a service its weight in the traffic split of a route."""
 
     service: str
     weight: int
@@ -33,28 +33,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Describe which requests go where, and what they are owed."""
+    """Describe the requests that a route matches and how they are served."""
 
     name: str
     host: str
     path_prefix: str
     kind: RouteKind
-    #: Longest time that a request may stay unanswered.
+    #: Maximum time until a request is answered.
     timeout: float
-    #: Time within which an answer is on time.
+    #: Target latency: an answer within this time counts as on time.
     target: float
     shares: tuple[ServiceShare, ...]
-    #: Most upstreams that may run one request.
+    #: Maximum number of upstreams that may run the same request.
     max_upstreams: int = 1
-    #: Rank, 0 first.
+    #: Priority class; 0 is the highest.
     priority: int = 0
     needs_key: bool = True
     resumable: bool = False
-    #: Longest pause between two events of a stream that is still on time.
+    #: Maximum pause between two events of a stream that counts as on time.
     event_gap: float = 1.0
 
     def service_for(self, attempt_id: str) -> str:
-        """Choose a service by weight, the same one for the same request."""
+        """Choose a service by weight, deterministically for each attempt id."""
         sums = list(accumulate(share.weight for share in self.shares))
         if len(sums) == 1 or not sums[-1]:
             return self.shares[0].service
@@ -67,20 +67,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Scaling:
-    """Bound the upstreams of a service in one data centre."""
+    """Bound the number of upstreams of a service in one data centre."""
 
     min_upstreams: int
     max_upstreams: int
     boot_seconds: float
-    #: Cost of a reclaimable upstream as a share of another's; 0: none to have.
+    #: Price of a reclaimable upstream relative to a regular one; 0 if the
+    #: service has no reclaimable upstreams.
     reclaimable_price: float = 0
-    #: Cost of an upstream by data centre.
+    #: Price of an upstream by data centre.
     prices: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLimits:
-    """Describe a model engine as far as it is configured."""
+    """Describe the configured properties of a model engine."""
 
     slots: int
     cache_tokens: int
@@ -104,17 +105,17 @@
     name: str
     keys: frozenset[str]
     priority: int | None = None
-    #: Units a second, fleet wide; 0: no limit.
+    #: Fleet-wide rate limit, in units per second; 0 means no limit.
     rate: float = 0
     burst: float = 0
     counts_tokens: bool = False
-    #: Tokens that a request without a token count stands for.
+    #: Tokens charged for a request that states no token count.
     default_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what a caller may send."""
+    """Limit the size and duration of what a caller sends."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -137,7 +138,7 @@
 
 
 class ServedConfiguration:
-    """Index one accepted configuration for the path of a request."""
+    """Index one accepted configuration for lookups on the request path."""
 
     def __init__(
         self,
@@ -149,7 +150,7 @@
     ) -> None:
         """Build the lookup tables.
 
-        ``version`` is the operator's, which rises with each change.
+        ``version`` is assigned by the operator and increases with each change.
         """
         self.version = version
         self.limits = limits
@@ -162,7 +163,7 @@
         }
 
     def quotas(self, window: float) -> dict[str, Limit]:
-        """Return the limits of the workspaces that have one."""
+        """Return the limits of the workspaces that have a rate limit."""
         if window not in self._quotas:
             self._quotas[window] = {
                 row.name: Limit(row.rate, row.burst, window)
@@ -172,11 +173,11 @@
         return self._quotas[window]
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, if any."""
+        """Return the route with the longest matching path prefix, if any."""
         rows = self._hosts.get(host, [])
         matching = (row for row in rows if path.startswith(row.path_prefix))
         return next(matching, None)
 
     def find_workspace(self, key: str) -> ServedWorkspace | None:
-        """Return the workspace that holds a key, if any."""
+        """Return the workspace that a key belongs to, if any."""
         return self._keys.get(key)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/counting.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/counting.py
@@ -1,4 +1,4 @@
-"""Add up counts by a key, as changes of them come."""
+"""Aggregate counts by key, incrementally."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -12,7 +12,10 @@
     counts: Mapping[Key, int],
     sign: int = 1,
 ) -> None:
-    """Add counts to a total, or with a sign of -1 take them off; no zeros."""
+    """Add counts to a total, or subtract them if the sign is -1.
+
+    Keys whose count becomes zero are removed.
+    """
     for key, count in counts.items():
         added = total[key] + sign * count
         if added:
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/directory.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/directory.py
@@ -1,9 +1,10 @@
-"""Keep the table of upstreams that the platform lists.
+"""Maintain the table of upstreams that the platform lists.
 
-A lifetime that was seen leaving or gone never comes back; another one of the
-same upstream does. Rows that vanish right after an outage of the store get a
-short time to be written again. An entry that names no upstream to use pauses
-the one that it belongs to, until the upstream writes it again.
+A lifetime that was listed as leaving or was removed never returns to service;
+a later lifetime of the same upstream does. Rows that are missing right after
+an outage of the store are retained for a short time, so that they can be
+written again. An unusable record pauses the upstream that it belongs to until
+the upstream writes a usable one.
 """
 
 from collections import Counter
@@ -21,58 +22,60 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.timelines import REWRITE_SECONDS
 
-#: Lifetimes remembered as over; a listing that is late by more is not seen.
+#: Maximum number of ended lifetimes that are remembered; an outdated listing
+#: from before the oldest of them is not recognised.
 MAX_ENDED_LIFETIMES = 4096
-#: Bits of a digest, so that any codec carries it.
-DIGEST_BITS = 0xFFFFFFFFFFFF
-#: No upstream, where nobody keeps what they say.
+#: Mask for the digest: 48 bits, which any codec can represent.
+DIGEST_MASK = 0xFFFFFFFFFFFF
+#: Default for a directory whose owner tracks no statements of upstreams.
 NO_LIFETIMES: AbstractSet[Lifetime] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChange:
-    """State what of a directory has changed since a revision."""
+    """Describe how a directory has changed since a revision."""
 
     rows: tuple[ListedUpstream, ...]
     removed: tuple[Lifetime, ...]
 
 
 class Directory:
-    """Hold the upstreams that may get work, by service."""
+    """Index the upstreams that may receive work, by service."""
 
     def __init__(
         self,
         said_leaving: AbstractSet[Lifetime] = NO_LIFETIMES,
     ) -> None:
-        """Start with no upstream known.
+        """Start with an empty directory.
 
-        ``said_leaving`` are the lifetimes that said that they leave, kept by
-        their owner. That holds for good: a listing may be older than the word,
-        or the upstream may not have reached the store.
+        ``said_leaving`` is the set of lifetimes that stated in an answer that
+        they are leaving; its owner updates it. The statement is final: a
+        listing may predate it, or the upstream may have failed to update its
+        record in the store.
         """
         self._said_leaving = said_leaving
         self.revision = 0
-        #: Start of the newest read that showed these rows to be the newest.
+        #: Start time of the latest read that confirmed these rows as current.
         self.confirmed_at = float('-inf')
-        #: Digest of the rows: equal where nodes know the same upstreams.
+        #: Digest of the rows, equal on nodes that have the same upstreams.
         self.digest = 0
         self.rows: dict[Lifetime, ListedUpstream] = {}
-        #: Whether these rows differ from those of the node that told changes
-        #: of them, so that all have to be told.
+        #: Whether these rows differ from those of the node that sends deltas,
+        #: so that the node has to send all rows.
         self.has_diverged = False
-        #: Lifetimes that are over, oldest first, and whose they are.
+        #: Ended lifetimes with their upstream ids, oldest first.
         self._ended: dict[Lifetime, str] = {}
-        #: Those listed as leaving: a copy that the store was restored from may
-        #: list them as they were before.
+        #: Lifetimes that were listed as leaving; a backup from which the store
+        #: was restored may still list them as serving.
         self._seen_leaving: set[Lifetime] = set()
-        #: The latest start that is known of each upstream.
+        #: Latest known start time of each upstream.
         self._latest_start: dict[str, int] = {}
         self._by_service: dict[str, list[ListedUpstream]] = {}
-        #: Lifetimes that are listed at each address.
+        #: Number of listed lifetimes at each address.
         self._address_counts: Counter[str] = Counter()
-        #: When another upstream of each service was last listed.
+        #: When a new upstream of each service was last listed.
         self._last_added_at: dict[str, float] = {}
-        #: Revision of the listing that changed each row or had it no more.
+        #: Revision of the listing that changed or removed each row.
         self._changed_in: dict[Lifetime, int] = {}
         self._removed_in: dict[Lifetime, int] = {}
 
@@ -84,11 +87,12 @@
         outage_ended: float,
         unusable: Collection[str] = (),
     ) -> tuple[ListedUpstream, ...]:
-        """Take over a listing unless it is older than what is known.
+        """Apply a listing unless it is older than the current one.
 
-        ``outage_ended`` is when the store answered again after its last
-        outage, ``unusable`` names upstreams whose entries cannot be used.
-        Return the rows that began to leave or went.
+        ``outage_ended`` is the time at which the store answered again after
+        its last outage; ``unusable`` holds the ids of upstreams whose records
+        cannot be used. Return the previous rows that have started to leave or
+        are gone.
         """
         if revision < self.revision:
             return ()
@@ -96,7 +100,7 @@
         self.revision = revision
         found = self._current_rows(listed, unusable)
         retained = self._retained_rows(found, now, outage_ended)
-        # What is kept beyond the listing no change since it would remove.
+        # Rows retained beyond the listing are not removed by any later delta.
         self.has_diverged = bool(retained)
         self.rows = found | retained
         changed = tuple(
@@ -121,10 +125,11 @@
         listed: Iterable[ListedUpstream],
         unusable: Collection[str],
     ) -> dict[Lifetime, ListedUpstream]:
-        """Return the rows of a listing that are not over.
+        """Return the rows of a listing whose lifetimes have not ended.
 
-        An entry with an earlier start than is known was not written by the
-        upstream as it is now: like one that cannot be used, it pauses it.
+        A record with an earlier start than the latest known one does not
+        describe the current lifetime; it pauses the upstream like an unusable
+        record.
         """
         found: dict[Lifetime, ListedUpstream] = {}
         paused = set(unusable)
@@ -142,7 +147,7 @@
         return found | self._paused_rows(paused) if paused else found
 
     def _with_past_leaving(self, row: ListedUpstream) -> ListedUpstream:
-        """Return a row that leaves if it was ever listed as leaving."""
+        """Return a row marked as leaving if it was ever listed as leaving."""
         if row.leaving:
             self._seen_leaving.add(row.lifetime)
         elif row.lifetime in self._seen_leaving:
@@ -150,7 +155,7 @@
         return row
 
     def _with_statement(self, row: ListedUpstream) -> ListedUpstream:
-        """Return a row with what its upstream said itself."""
+        """Return a row updated with the statement of its upstream."""
         announced = row.lifetime in self._said_leaving
         if announced == row.said_leaving:
             return row
@@ -164,7 +169,7 @@
         }
 
     def changes_since(self, revision: int) -> DirectoryChange:
-        """Return what a node that knows a revision has to learn."""
+        """Return the delta for a node that has the given revision."""
         rows = (
             self.rows[key]
             for key, changed in self._changed_in.items()
@@ -177,15 +182,15 @@
 
     @property
     def delta_base(self) -> int:
-        """Return the revision since which changes are enough; 0: tell all."""
+        """Return the revision to build a delta on; 0 requests all rows."""
         return 0 if self.has_diverged else self.revision
 
     def check_digest(self, digest: int) -> None:
-        """Compare with the digest of the node that told what has changed."""
+        """Compare the digest of the node that sent the last delta."""
         self.has_diverged = digest != self.digest
 
     def with_change(self, change: DirectoryChange) -> list[ListedUpstream]:
-        """Return the rows as they are after a change."""
+        """Return the rows after applying a delta."""
         rows = {
             key: row
             for key, row in self.rows.items()
@@ -194,28 +199,28 @@
         rows.update((row.lifetime, row) for row in change.rows)
         return list(rows.values())
 
-    def confirm(self, confirmed_at: float) -> None:
-        """Note a read that showed the rows; an older one changes nothing."""
+    def mark_confirmed(self, confirmed_at: float) -> None:
+        """Record a read that confirmed the rows; older reads have no effect."""
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def serving(self, service: str) -> list[ListedUpstream]:
-        """Return the upstreams of a service that may get new work.
+        """Return the upstreams of a service that may receive new work.
 
-        All nodes that know the same lifetimes have them in the same order,
-        which has nothing to do with their data centres.
+        Nodes with the same lifetimes return them in the same order, which is
+        independent of their data centres.
         """
         return self._by_service.get(service, [])
 
     def is_replaced(self, row: ListedUpstream) -> bool:
-        """Tell whether another lifetime has the address of a listed one."""
+        """Return whether another lifetime is listed at the address of a row."""
         return self._address_counts[row.address] > 1
 
     def last_added_at(self, service: str) -> float:
-        """Return when another upstream of a service was last listed."""
+        """Return when a new upstream of a service was last listed."""
         return self._last_added_at.get(service, float('-inf'))
 
     def apply_statements(self, lifetimes: Iterable[Lifetime]) -> None:
-        """Take over what some upstreams have just said of themselves."""
+        """Apply new statements of upstreams that they are leaving."""
         services: set[str] = set()
         for lifetime in lifetimes:
             row = self.rows.get(lifetime)
@@ -226,7 +231,8 @@
                 self.rows[lifetime] = updated
                 services.add(row.service)
         for service in services:
-            # The order stays, which is dear to find among thousands.
+            # Filtering keeps the order; sorting thousands of rows again is
+            # expensive.
             self._by_service[service] = [
                 row
                 for row in self.serving(service)
@@ -234,7 +240,7 @@
             ]
 
     def end(self, lifetime: Lifetime) -> None:
-        """Note that a lifetime has proved to be over."""
+        """Remove a lifetime that was found to have ended."""
         row = self.rows.pop(lifetime, None)
         if row is not None:
             self._record_ended(lifetime, row.upstream_id)
@@ -283,7 +289,7 @@
 
 
 def ring_position(lifetime: Lifetime) -> int:
-    """Return the place of a lifetime on a ring that all nodes share."""
+    """Return the position of a lifetime on the hash ring of all nodes."""
     return xxh3_64_intdigest(lifetime.encode())
 
 
@@ -295,4 +301,4 @@
     known = sorted(
         (row.lifetime, row.address, row.leaving, row.paused) for row in rows
     )
-    return xxh3_64_intdigest(repr(known).encode()) & DIGEST_BITS
+    return xxh3_64_intdigest(repr(known).encode()) & DIGEST_MASK
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
@@ -1,54 +1,55 @@
-"""Learn from requests how fast the engines of a service read prompts.
+"""Estimate the prefill speed of the engines of a service from requests.
 
-The wait for a first token is taken as a line over the work of reading: what
-waits at the engine and the prompt itself. Entries add up what their requests
-showed; sums of all entries give one line, so a fleet of many small entries
-learns as fast as one large one. Orders, routing and grants read this line.
+The time to first token is modelled as a linear function of the prefill work:
+the work queued at the engine plus the prompt itself. Entries sum the samples
+of their requests, and the home fits one line to the sums of all entries, so
+that a fleet of many small entries learns as fast as one large entry.
+Autoscaling, routing and grants use this line.
 """
 
 from dataclasses import dataclass, field, fields
 
-#: Tokens for which reading takes twice as long as its length alone says,
-#: since each token also looks at all before it.
+#: Prompt length, in tokens, at which attention doubles the cost of prefill
+#: over the linear part, since each token attends to all tokens before it.
 DOUBLE_COST_TOKENS = 100_000
-#: What is assumed until requests show more: a slow engine, so that the first
-#: seconds of a service err towards more engines.
+#: Prior, in tokens per second and seconds, until there are samples: a slow
+#: engine, so that the first seconds of a service over-provision engines.
 PRIOR_RATE = 60_000.0
 PRIOR_BASE = 0.03
-#: Samples that the prior counts for, at a short and at a long prompt.
+#: Weight of the prior, in samples at a short and at a long prompt.
 PRIOR_SAMPLES = 2.0
 PRIOR_WORKS = (500.0, 10_000.0)
-#: Seconds in which the weight of a sample halves: longer than a jam, shorter
-#: than it takes an operator to change engines.
+#: Half-life of the weight of a sample, in seconds: longer than a load spike,
+#: shorter than it takes an operator to replace engines.
 SAMPLE_HALF_LIFE = 30.0
-#: A wait counts for at most this many times what was expected, so that one
-#: silent engine does not spoil the line.
+#: Maximum ratio of a counted wait to the expected one, so that one
+#: unresponsive engine does not distort the line.
 MAX_WAIT_RATIO = 3.0
-#: Slowest and fastest reading that is believed, in tokens a second.
+#: Bounds of the estimated prefill speed, in tokens per second.
 MIN_RATE = 2_000.0
 MAX_RATE = 2_000_000.0
 
 
 def prefill_work(tokens: int) -> float:
-    """Return what reading a prompt costs, in tokens of a short one."""
+    """Return the cost of the prefill of a prompt, in tokens of a short one."""
     return tokens * (1 + tokens / DOUBLE_COST_TOKENS)
 
 
 @dataclass(frozen=True, slots=True)
 class PrefillSpeed:
-    """State the line: seconds = base + work / rate."""
+    """State the fitted line: seconds = base + work / rate."""
 
     base: float = PRIOR_BASE
     rate: float = PRIOR_RATE
 
     def seconds(self, work: float) -> float:
-        """Return the expected wait for a first token behind such work."""
+        """Return the expected time to first token for some prefill work."""
         return self.base + work / self.rate
 
 
 @dataclass(slots=True)
 class PrefillSums:
-    """Hold sums over samples of work and seconds; sums can be added."""
+    """Accumulate samples of work and seconds as sums that can be added."""
 
     count: float = 0
     work: float = 0
@@ -65,18 +66,18 @@
         self.product += weight * work * seconds
 
     def add_sums(self, other: 'PrefillSums', sign: float = 1) -> None:
-        """Add the sums of others, or take them away."""
+        """Add other sums, or subtract them if the sign is -1."""
         for one in fields(self):
             total = getattr(self, one.name)
             setattr(self, one.name, total + sign * getattr(other, one.name))
 
     def decay(self, part: float) -> None:
-        """Keep a part of the weight of all samples."""
+        """Multiply the weight of all samples by a factor."""
         for one in fields(self):
             setattr(self, one.name, getattr(self, one.name) * part)
 
     def fit(self) -> PrefillSpeed:
-        """Return the line of least squares through the samples."""
+        """Return the least-squares line through the samples."""
         denominator = self.count * self.work_square - self.work * self.work
         if denominator <= 0:
             return PrefillSpeed()
@@ -89,7 +90,7 @@
 
 
 def prior_sums(prior: PrefillSpeed) -> PrefillSums:
-    """Return the samples that stand for what is assumed at first."""
+    """Return the samples that represent the prior."""
     sums = PrefillSums()
     for work in PRIOR_WORKS:
         sums.add(work, prior.seconds(work), PRIOR_SAMPLES)
@@ -98,18 +99,19 @@
 
 @dataclass(slots=True)
 class PrefillModel:
-    """Learn the line of one service from the sums of all entries."""
+    """Fit the line of one service to the sums of all entries."""
 
-    #: What a new home heard from the home before.
+    #: Estimate that the previous home reported.
     prior: PrefillSpeed = field(default_factory=PrefillSpeed)
     _sums: PrefillSums = field(default_factory=PrefillSums)
     _last_sums: dict[str, PrefillSums] = field(default_factory=dict)
     _decayed_at: float = 0
 
     def learn(self, entry: str, sums: PrefillSums, now: float) -> None:
-        """Take the sums of an entry since its process started.
+        """Add what the sums of an entry have gained since its last report.
 
-        The first sums of an entry only show where it stands.
+        The sums count from the start of the entry's process; the first ones
+        only set the baseline.
         """
         self._decay(now)
         known = self._last_sums.get(entry)
@@ -119,7 +121,7 @@
             self._sums.add_sums(known, -1)
 
     def speed(self) -> PrefillSpeed:
-        """Return the line that is in force now."""
+        """Return the current estimate."""
         sums = prior_sums(self.prior)
         sums.add_sums(self._sums)
         return sums.fit()
@@ -132,5 +134,5 @@
 
 
 def clamp_wait(seconds: float, expected: float) -> float:
-    """Return a wait as far as it is believed."""
+    """Return a wait, limited to a multiple of the expected one."""
     return min(seconds, expected * MAX_WAIT_RATIO)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/fleet.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/fleet.py
@@ -1,4 +1,4 @@
-"""Merge the reports of the entries into the table that the home gives out."""
+"""Merge the reports of entries into the table that the home distributes."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -18,14 +18,14 @@
 from spanfall_core.gateway.known.unit_reports import EntrySpending
 from spanfall_core.gateway.known.usage import FleetUsage, WindowCounts
 
-#: Seconds between two looks for entries that are heard no more.
+#: Minimum seconds between two searches for expired entries.
 EXPIRY_CHECK_SECONDS = 0.05
-#: Seconds without a report after which an entry is forgotten, and is taken to
-#: hold nothing any more.
+#: Seconds without a report after which an entry is dropped and is assumed to
+#: hold no units.
 ENTRY_RETENTION_SECONDS = 60.0
-#: Seconds for which a new home takes the fleet to be as large as before: its
-#: first entries would report at the pace of a small one, and each take the
-#: part of a small fleet of what all share.
+#: Seconds for which a new home assumes the previous size of the fleet.
+#: Otherwise its first entries would report at the rate of a small fleet, and
+#: each would take the share of a small fleet in common limits.
 ASSUMED_SIZE_SECONDS = 3.0
 
 Counts = dict[str, int]
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryReport:
-    """State what one entry has running and what it spent."""
+    """Report what one entry has running and what it has spent."""
 
     node: str
     incarnation: str
@@ -42,23 +42,23 @@
     failed: ByLifetime = field(default_factory=dict)
     spending: EntrySpending = field(default_factory=EntrySpending)
     usage: WindowCounts = field(default_factory=dict)
-    #: Work of reading by service since the process started, in tokens.
+    #: Prefill work by service since the process started, in tokens.
     read_work: Counts = field(default_factory=dict)
-    #: What requests showed of the speed of reading, by service.
+    #: Samples of prefill speed, by service.
     reading: dict[str, PrefillSums] = field(default_factory=dict)
 
     @property
     def key(self) -> str:
-        """Name the entry and its incarnation."""
+        """Return the key of the entry and its incarnation."""
         return f'{self.node}/{self.incarnation}'
 
 
 @dataclass(frozen=True, slots=True)
 class FleetTotals:
-    """Give sums over entries that reported to this home.
+    """Hold totals over the entries that reported to this home.
 
-    What runs is a sum of the present; what failed is counted since each
-    entry first reported to this home.
+    Running requests are a current sum; failures are counted since the first
+    report of each entry to this home.
     """
 
     running: ByLifetime = field(default_factory=dict)
@@ -68,43 +68,43 @@
 
 @dataclass(slots=True)
 class ReportingEntry:
-    """Hold the first and the newest report of one incarnation."""
+    """Store the first and the latest report of one incarnation."""
 
     first: EntryReport
     report: EntryReport
     reported_at: float
-    #: When it is unheard, unless it reports before.
+    #: When its load expires unless it reports before.
     expires_at: float
     is_live: bool = True
 
     @property
     def failed(self) -> ByLifetime:
-        """Return what failed since its first report here."""
+        """Return the failures since its first report to this home."""
         return subtract_counts(self.report.failed, self.first.failed)
 
 
 @dataclass(slots=True)
 class FleetState:
-    """Hold what the entries reported to this home."""
+    """Store what the entries reported to this home."""
 
-    #: How fast engines read, as the home before said.
+    #: Prefill speeds that the previous home reported.
     prior_speeds: Mapping[str, PrefillSpeed] = field(default_factory=dict)
     usage: FleetUsage = field(default_factory=FleetUsage)
-    #: Entries that the fleet had before this home began, and until when it
-    #: is taken to have as many.
+    #: Size of the fleet before this home took over, and until when it is
+    #: assumed.
     assumed_entries: int = 1
     assumed_until: float = float('-inf')
     _models: dict[str, PrefillModel] = field(default_factory=dict)
     _reporting: dict[str, ReportingEntry] = field(default_factory=dict)
-    #: Sums over the entries that are heard; for what failed, over all.
+    #: Sums over the live entries; failures are summed over all entries.
     _live_entries: int = 0
     _running: Counter[Lifetime] = field(default_factory=Counter)
     _prefill: Counter[Lifetime] = field(default_factory=Counter)
     _failed: Counter[Lifetime] = field(default_factory=Counter)
     _last_expiry: float = float('-inf')
 
-    def add_report(self, report: EntryReport, now: float) -> None:
-        """Take over the newest report of an entry."""
+    def apply_report(self, report: EntryReport, now: float) -> None:
+        """Store the latest report of an entry."""
         known = self._reporting.get(report.key)
         if known is None:
             known = ReportingEntry(report, report, now, now)
@@ -123,17 +123,17 @@
             self._model(service).learn(report.key, sums, now)
 
     def size(self, now: float) -> int:
-        """Return how many entries the fleet has, as far as is known."""
+        """Return the known or assumed number of entries."""
         self._expire_entries(now)
         assumed = self.assumed_entries if now < self.assumed_until else 1
         return max(1, assumed, self._live_entries)
 
     def period(self, now: float) -> float:
-        """Return the seconds until an entry heard now is to report again."""
+        """Return the seconds after which an entry has to report again."""
         return report_period(self.size(now))
 
     def totals_except(self, key: str, now: float) -> FleetTotals:
-        """Return the sums over all entries but one."""
+        """Return the totals over all entries except one."""
         self._expire_entries(now)
         own = self._reporting.get(key)
         if own is None:
@@ -154,12 +154,12 @@
         )
 
     def running(self, now: float) -> ByLifetime:
-        """Return what runs at each upstream."""
+        """Return the running requests by upstream."""
         self._expire_entries(now)
         return dict(self._running)
 
     def read_work(self) -> Counts:
-        """Return the work of reading since the home knows each entry."""
+        """Return the prefill work since the first report of each entry."""
         total: Counter[str] = Counter()
         for row in self._reporting.values():
             first = row.first.read_work
@@ -167,7 +167,7 @@
         return dict(total)
 
     def speeds(self) -> dict[str, PrefillSpeed]:
-        """Return how fast engines read, by service."""
+        """Return the prefill speed by service."""
         learned = {name: row.speed() for name, row in self._models.items()}
         return {**self.prior_speeds, **learned}
 
@@ -180,14 +180,14 @@
         return known
 
     def _add_load(self, row: ReportingEntry, sign: int) -> None:
-        """Add what an entry that is heard has running, or take it off."""
+        """Add the load of a live entry to the totals, or subtract it."""
         if row.is_live:
             self._live_entries += sign
             add_counts(self._running, row.report.running, sign)
             add_counts(self._prefill, row.report.prefill, sign)
 
     def _expire_entries(self, now: float) -> None:
-        """Find the entries that are heard no more, and forget old ones."""
+        """Remove the load of expired entries and drop old entries."""
         if now - self._last_expiry < EXPIRY_CHECK_SECONDS:
             return
         self._last_expiry = now
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/freshness.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/freshness.py
@@ -1,40 +1,44 @@
-"""Track how lately the configuration was proved to be the newest.
+"""Track when the configuration was last confirmed to be the latest.
 
-Only the steady clock counts. A proof is dated by the moment before the read
-that gave it began, so that a slow answer never makes it look newer.
+Ages are measured with the steady clock only. A confirmation is dated by the
+start of the read that gave it, so that a slow response never makes the
+configuration look newer than it is.
 """
 
 from dataclasses import dataclass
 
-#: Part of the bound for revoked keys after which keyed requests are refused.
+#: Fraction of the revocation bound after which requests with a key are
+#: refused.
 REFUSE_FRACTION = 0.8
-#: Part of that bound after which the node reports itself unready.
+#: Fraction of the revocation bound after which the node reports unready.
 UNREADY_FRACTION = 0.55
 
 
 @dataclass(slots=True)
 class Freshness:
-    """Hold when the configuration in force was last proved the newest."""
+    """Track when the active configuration was last confirmed."""
 
     revoke_seconds: float
-    #: Whether a key must stop to work within the bound also while the store
-    #: cannot be reached; else such a node goes on with what it knows.
+    #: Whether a revoked key must stop working within the bound even while the
+    #: store is unreachable; otherwise the node continues with the
+    #: configuration that it has.
     revocation_binds: bool = True
     confirmed_at: float = float('-inf')
 
-    def confirm(self, confirmed_at: float) -> None:
-        """Note a proof; an older one changes nothing."""
+    def mark_confirmed(self, confirmed_at: float) -> None:
+        """Record a confirmation; older ones have no effect."""
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def age(self, now: float) -> float:
-        """Return the seconds since the newest proof."""
+        """Return the seconds since the last confirmation."""
         return now - self.confirmed_at
 
     def may_serve_keys(self, now: float) -> bool:
-        """Tell whether a key that is known here cannot be revoked too long.
+        """Return whether requests with a known key may be served.
 
-        Where that does not bind, callers are served while the store is away:
-        refused were 258 requests in two seconds of an outage of four.
+        If the revocation bound is not binding, callers are served during an
+        outage of the store as well: with a binding bound, 258 requests were
+        refused in two seconds of a four-second outage.
         """
         return (
             not self.revocation_binds
@@ -42,5 +46,5 @@
         )
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether the node should get new connections."""
+        """Return whether the node should receive new connections."""
         return self.age(now) < self.revoke_seconds * UNREADY_FRACTION
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/identity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/identity.py
@@ -1,19 +1,19 @@
-"""Name what a request is, however often and wherever it comes.
+"""Identify a request across retries and entries.
 
-Each attempt of a caller has an id of its own. Caller, target and body tell
-that it is the same request again.
+Each attempt has its own id; the caller, target and body identify attempts of
+the same request.
 """
 
 from hashlib import blake2b
 from typing import NewType
 
-#: Name of a request, the same at each attempt and at each entry.
+#: Identity of a request, equal for each attempt and on each entry.
 RequestIdentity = NewType('RequestIdentity', str)
-#: Bytes of the digest: nobody finds another request with the same one, which
-#: would be refused for what this one did.
+#: Digest size in bytes, large enough that no other request can be constructed
+#: with the same digest; it would be refused because of this one.
 DIGEST_BYTES = 16
-#: Bytes that tell the length of each part, so that no two lists of parts give
-#: the same bytes.
+#: Bytes of the length prefix of each part, so that different lists of parts
+#: never encode to the same bytes.
 LENGTH_BYTES = 8
 
 
@@ -24,10 +24,10 @@
     target: str,
     body: bytes,
 ) -> RequestIdentity:
-    """Name a request of a caller; the name does not show the body.
+    """Return the identity of a request without revealing its body.
 
-    The digest has no key: all nodes have to agree on it, also one that has
-    just started and reaches nobody.
+    The digest is not keyed: all nodes must compute the same one, including a
+    node that has just started and cannot reach any other.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     text_parts = (part.encode() for part in (caller, host, method, target))
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/lifetimes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/lifetimes.py
@@ -1,25 +1,25 @@
-"""Name the lifetimes of upstreams: the one key under which all is learned.
+"""Name the lifetimes of upstreams, the key of all tables about upstreams.
 
-An upstream may start again under its id. What was learned of one lifetime
-says nothing of the next, so no table has an id as its key.
+An upstream may restart under the same id. What was learned about one lifetime
+does not apply to the next, so no such table is keyed by id.
 """
 
 from typing import NewType
 
 #: Name of one lifetime of one upstream, unique in the fleet.
 Lifetime = NewType('Lifetime', str)
-#: Numbers by lifetime, such as the requests that run there.
+#: Numbers by lifetime, such as running requests.
 ByLifetime = dict[Lifetime, int]
-#: Separates an id from the time of its start; the adapter accepts no id that
-#: holds it.
+#: Separator between the id and the start time; the adapter rejects ids that
+#: contain it.
 SEPARATOR = ' '
 
 
 def name_lifetime(upstream_id: str, born: int | None) -> Lifetime:
-    """Name the lifetime of an upstream that began at a time.
+    """Return the name of the lifetime that started at the given time.
 
-    ``born`` is in milliseconds since 1970; None: the platform does not tell,
-    so each start has an id of its own.
+    ``born`` is in milliseconds since 1970, or None if the platform does not
+    report it; then each start has its own id.
     """
     if born is None:
         return Lifetime(upstream_id)
@@ -27,7 +27,7 @@
 
 
 def is_earlier(born: int | None, known: int | None) -> bool:
-    """Tell whether a start lies before one that is known already."""
+    """Return whether a start precedes the latest known start."""
     if known is None:
         return False
     return born is None or born < known
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/limits.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/limits.py
@@ -1,4 +1,4 @@
-"""Hold the limits of workspaces, and those that were in force lately."""
+"""Represent the limits of workspaces and track recently lowered ones."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -7,50 +7,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """State the limit of a workspace, in units a second and at once."""
+    """State the limit of a workspace: units per second and a burst."""
 
     rate: float
     burst: float
-    #: Seconds of the window.
+    #: Length of the window in seconds.
     window: float
 
     @property
     def total(self) -> float:
-        """Return the units of one window."""
+        """Return the units allowed in one window."""
         return self.rate * self.window + self.burst
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """State how much more than a limit the platform lets run in a window."""
+    """State by how much the platform allows a window to exceed its limit."""
 
     fraction: float = 0
     units: float = 0
 
     def extra_units(self, limit: Limit) -> float:
-        """Return the units that may run beyond a limit."""
+        """Return the units that may run in excess of a limit."""
         return limit.total * self.fraction + self.units
 
 
 Limits = Mapping[str, Limit]
-#: Limits of before, with the time until which each still counts.
+#: Previous limits, each with the time until which it applies.
 FormerLimits = deque[tuple[float, Limit]]
 
 
 @dataclass(slots=True)
 class EffectiveLimits:
-    """Hold each span to the limits that were in force during it.
+    """Apply to each period of time the limits that were in force during it.
 
-    A lower limit binds one window after it came: until then, the window holds
-    spending that the higher one allowed. Without this, each workspace whose
-    limit falls below what it just spent gets nothing for most of a window.
+    A lowered limit takes effect one window after the change: until then, the
+    window contains spending that the higher limit allowed. Otherwise a
+    workspace whose limit drops below its recent spending would be refused for
+    most of a window.
     """
 
     _configured: Limits = field(default_factory=dict)
     _former: dict[str, FormerLimits] = field(default_factory=dict)
 
     def at(self, configured: Limits, now: float) -> dict[str, Limit]:
-        """Return the limits that bind now, given those that are configured."""
+        """Return the limits that apply now, given the configured ones."""
         if configured != self._configured:
             self._record_lowered(configured, now)
             self._configured = configured
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/listed.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/listed.py
@@ -17,34 +17,35 @@
     leaving: bool = False
     reclaimable: bool = False
     warm_up: float = 0
-    #: Seconds until it stops, where the platform tells.
+    #: Seconds until it stops, if the platform reports it.
     leaves_in: float | None = None
-    #: When it started, in milliseconds since 1970, where the platform tells.
+    #: Start time in milliseconds since 1970, if the platform reports it.
     born: int | None = None
-    #: Whether its entry names no upstream to use at the moment.
+    #: Whether its current record is unusable.
     paused: bool = False
-    #: Whether it said in an answer that it leaves, whatever its entry says.
+    #: Whether it stated in an answer that it is leaving, whatever its record
+    #: says.
     said_leaving: bool = False
 
     @property
     def lifetime(self) -> Lifetime:
-        """Name this lifetime."""
+        """Return the name of this lifetime."""
         return name_lifetime(self.upstream_id, self.born)
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether it may get new work."""
+        """Return whether it may receive new work."""
         return not (self.is_leaving or self.paused)
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether it leaves, by its entry or by its own word."""
+        """Return whether it is leaving, by its record or its statement."""
         return self.leaving or self.said_leaving
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableRecord:
-    """Say why an entry of the platform's list names no upstream to use."""
+    """State why a record in the platform's list cannot be used."""
 
     upstream_id: str
     reason: str
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/loads.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/loads.py
@@ -1,4 +1,4 @@
-"""Keep what runs at each upstream, here and at the other entries."""
+"""Track the load of each upstream, from this entry and from the others."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -6,40 +6,40 @@
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Seconds in which the weight of a failure halves.
+#: Half-life of the weight of a failure, in seconds.
 FAILURE_HALF_LIFE = 3.0
-#: Most failures that count against an upstream at a time.
+#: Maximum failure score of an upstream.
 MAX_FAILURE_SCORE = 8.0
 
 
 @dataclass(slots=True)
 class FailureScore:
-    """Hold the recent failures of an upstream, fading with time."""
+    """Sum the recent failures of an upstream, decaying over time."""
 
     score: float = 0
     updated_at: float = 0
 
     def value(self, now: float) -> float:
-        """Return the failures that still count."""
+        """Return the current score."""
         if not self.score:
             return 0
         passed = max(0, now - self.updated_at)
         return float(self.score * 0.5 ** (passed / FAILURE_HALF_LIFE))
 
     def add(self, failures: float, now: float) -> None:
-        """Add failures seen now."""
+        """Add failures that occurred now."""
         self.score = min(MAX_FAILURE_SCORE, self.value(now) + failures)
         self.updated_at = now
 
 
 @dataclass(slots=True)
 class Loads:
-    """Hold running requests, unread prompt tokens and failures."""
+    """Track running requests, pending prefill tokens and failures."""
 
     running: Counter[Lifetime] = field(default_factory=Counter)
     prefill: Counter[Lifetime] = field(default_factory=Counter)
     failed: Counter[Lifetime] = field(default_factory=Counter)
-    #: How often the counts of what runs have changed.
+    #: Number of changes of the running and prefill counts.
     changes: int = 0
     others_running: Mapping[Lifetime, int] = field(default_factory=dict)
     others_prefill: Mapping[Lifetime, int] = field(default_factory=dict)
@@ -53,12 +53,12 @@
         self.prefill[lifetime] += prefill
 
     def first_token(self, lifetime: Lifetime, prefill: int) -> None:
-        """Count the prompt of a request as read."""
+        """Mark the prefill of a request as complete."""
         self.changes += 1
         self.prefill[lifetime] -= prefill
 
     def end(self, lifetime: Lifetime) -> None:
-        """Count a request as over."""
+        """Count a request as finished."""
         self.changes += 1
         self.running[lifetime] -= 1
         if not self.running[lifetime]:
@@ -71,16 +71,16 @@
         self._scores.pop(lifetime, None)
 
     def fail(self, lifetime: Lifetime, now: float, weight: float = 1) -> None:
-        """Count a failure against an upstream."""
+        """Count a failure of an upstream."""
         self.failed[lifetime] += 1
         self._score(lifetime).add(weight, now)
 
     def add_remote_failures(
         self, totals: Mapping[Lifetime, int], now: float
     ) -> None:
-        """Count the failures that other entries saw since the last table.
+        """Add the failures that other entries reported since the last table.
 
-        The first table of a link only shows where the counts stand.
+        The first table of a connection only sets the baseline.
         """
         known = self._remote_failed
         if known is not None:
@@ -91,23 +91,23 @@
         self._remote_failed = dict(totals)
 
     def reset_others(self) -> None:
-        """Start anew with the others, after a change of the home."""
+        """Reset the data of other entries after a change of the home."""
         self._remote_failed = None
         self.others_running = {}
         self.others_prefill = {}
 
     def running_at(self, lifetime: Lifetime) -> int:
-        """Return the requests that run at an upstream, fleet wide."""
+        """Return the requests running at an upstream, fleet wide."""
         others = self.others_running.get(lifetime, 0)
         return self.running[lifetime] + max(0, others)
 
     def prefill_at(self, lifetime: Lifetime) -> int:
-        """Return the prompt tokens that an upstream has still to read."""
+        """Return the tokens pending prefill at an upstream, fleet wide."""
         others = self.others_prefill.get(lifetime, 0)
         return max(0, self.prefill[lifetime]) + max(0, others)
 
     def failures_at(self, lifetime: Lifetime, now: float) -> float:
-        """Return the recent failures of an upstream."""
+        """Return the failure score of an upstream."""
         score = self._scores.get(lifetime)
         return score.value(now) if score else 0
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/prefixes.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/prefixes.py
@@ -1,8 +1,8 @@
-"""Remember which upstream has read which part of a prompt.
+"""Track which parts of prompts are in the prefix cache of each upstream.
 
-Parts are read in order: a part is cached only if all before it are. The
-record is this entry's own sends; the upstream that first gets an unknown
-part is chosen by hash, so that entries agree without a message.
+Parts are processed in order: a part is cached only if all parts before it are.
+The index covers only the requests that this entry sent; the upstream for an
+unknown part is chosen by hash, so that entries agree without communication.
 """
 
 from collections import OrderedDict
@@ -11,13 +11,13 @@
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Parts remembered for each upstream, newest kept.
+#: Maximum number of parts kept for each upstream; the oldest are dropped.
 MAX_PARTS_PER_UPSTREAM = 400
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """Name a part of a prompt and give its length."""
+    """Identify a part of a prompt, with its length."""
 
     part_id: str
     tokens: int
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True)
 class PrefixIndex:
-    """Hold the parts that each upstream has read, oldest first."""
+    """Index the parts that each upstream has processed, oldest first."""
 
     _parts: dict[Lifetime, OrderedDict[str, None]] = field(default_factory=dict)
-    #: The upstreams that have read each part, the latest last.
+    #: Upstreams that have processed each part, latest last.
     _holders: dict[str, dict[Lifetime, None]] = field(default_factory=dict)
 
     def cached_tokens(
@@ -36,7 +36,7 @@
         lifetime: Lifetime,
         parts: tuple[PromptPart, ...],
     ) -> int:
-        """Return how many leading tokens an upstream has read already."""
+        """Return the number of leading tokens that an upstream has cached."""
         known = self._parts.get(lifetime)
         if not known:
             return 0
@@ -47,12 +47,12 @@
             total += part.tokens
         return total
 
-    def remember(
+    def record(
         self,
         lifetime: Lifetime,
         parts: tuple[PromptPart, ...],
     ) -> None:
-        """Note that an upstream reads all parts of a prompt."""
+        """Record that an upstream processes all parts of a prompt."""
         known = self._parts.setdefault(lifetime, OrderedDict())
         for part in parts:
             known[part.part_id] = None
@@ -68,10 +68,10 @@
         self,
         parts: tuple[PromptPart, ...],
     ) -> Iterator[Iterable[Lifetime]]:
-        """Yield who has read each part of a prompt, the last part first.
+        """Yield the upstreams that have processed each part, last part first.
 
-        Whoever has read a later part has read most of the prompt. Of each
-        part, the upstream that read it last comes first.
+        An upstream that has processed a later part has most of the prompt
+        cached. For each part, the latest upstream comes first.
         """
         for part in reversed(parts):
             holders = self._holders.get(part.part_id)
@@ -85,6 +85,6 @@
             self._holders.pop(part_id)
 
     def forget(self, lifetime: Lifetime) -> None:
-        """Drop the record of an upstream that is gone."""
+        """Drop the index of an upstream that is gone."""
         for part_id in self._parts.pop(lifetime, ()):
             self._drop(part_id, lifetime)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/statements.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/statements.py
@@ -1,8 +1,9 @@
-"""Keep what upstreams say of themselves in their answers.
+"""Store what upstreams state about themselves in their answers.
 
-An upstream may name a limit over all entries, which stands until it names
-another one or none, and may say that it leaves, which holds for its lifetime.
-Nodes tell each other by age; of two words on one limit the later one counts.
+An upstream may state a limit for all entries together, which applies until it
+states another limit or none, and may state that it is leaving, which applies
+to its lifetime. Nodes exchange statements with their age; of two statements on
+the same limit the later one applies.
 """
 
 import re
@@ -13,9 +14,10 @@
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Lifetimes of which a word is kept; those that spoke longest ago go first.
+#: Maximum number of lifetimes kept; those with the oldest change go first.
 MAX_LIFETIMES = 16_384
-#: Digits of a decimal number that is read; more state no rate and no time.
+#: Maximum digits before and after the decimal point; longer numbers are not a
+#: valid rate or time.
 MAX_DIGITS = 9
 
 _DECIMAL = re.compile(rb'(\d{1,%d})(\.\d{0,%d})?' % (MAX_DIGITS, MAX_DIGITS))
@@ -23,31 +25,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """Hold what one answer says of its upstream."""
+    """Represent what one answer states about its upstream."""
 
-    #: Requests a second that it takes from all entries together.
+    #: Requests per second that it accepts from all entries together.
     rate: float | None = None
-    #: Whether it named a limit that cannot be read, which says nothing.
+    #: Whether it stated a limit that cannot be parsed, which is ignored.
     is_rate_invalid: bool = False
     leaves: bool = False
-    #: Seconds for which it wants nothing from the entry that it answered.
+    #: Seconds for which it accepts no requests from the entry that it
+    #: answered.
     backoff: float = 0
 
 
 @dataclass(frozen=True, slots=True)
 class KnownStatement:
-    """State what is known of one upstream, as nodes tell it each other."""
+    """Represent what is known of one upstream, as exchanged between nodes."""
 
-    #: None: it names no limit.
+    #: None if it states no limit.
     rate: float | None = None
-    #: Seconds since that was heard; None: never.
+    #: Seconds since the rate was received; None if never.
     rate_age: float | None = None
     leaves: bool = False
 
 
 @unique
 class StatementChange(StrEnum):
-    """Name what an answer tells that was not known."""
+    """Classify the new information in an answer."""
 
     LIMIT = 'limit'
     NO_LIMIT = 'no-limit'
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatedLimit:
-    """Hold the last word of an upstream on its limit."""
+    """Store the latest limit that an upstream stated."""
 
     rate: float | None
     received_at: float
@@ -69,16 +72,16 @@
 
 @dataclass(slots=True)
 class Statements:
-    """Hold what upstreams said, and in which order this node learned it."""
+    """Store the statements of upstreams, in the order of their changes."""
 
-    #: Grows with each change, so that others can ask what is new.
+    #: Incremented with each change, so that others can request later ones.
     version: int = 0
-    #: Requests a second of those that name a limit now.
+    #: Requests per second of the upstreams that state a limit now.
     rates: dict[Lifetime, float] = field(default_factory=dict)
-    #: Those that said that they leave.
+    #: Upstreams that stated that they are leaving.
     leaving: set[Lifetime] = field(default_factory=set)
     _limits: dict[Lifetime, StatedLimit] = field(default_factory=dict)
-    #: Version of the last change of each, oldest first.
+    #: Version of the last change of each upstream, oldest first.
     _changed: dict[Lifetime, int] = field(default_factory=dict)
 
     def record(
@@ -90,11 +93,11 @@
         *,
         is_signed: bool,
     ) -> list[StatementChange]:
-        """Take what an answer says that arrives now; return what is new.
+        """Record the statement of an answer received now; return what is new.
 
-        ``sent_at`` is when its request was sent. An answer without a limit
-        takes it back if the upstream ran a request that was sent after the
-        limit was known here.
+        ``sent_at`` is when the request was sent. An answer without a limit
+        withdraws the limit if it is signed, which shows that the upstream ran
+        the request, and the request was sent after the limit was received.
         """
         changes: list[StatementChange] = []
         if statement.leaves and self._learn_leaving(lifetime):
@@ -109,8 +112,8 @@
             changes.append(StatementChange.NO_LIMIT)
         return changes
 
-    def learn(self, statements: KnownStatements, now: float) -> list[Lifetime]:
-        """Take what another node knows; return what had not been known."""
+    def merge(self, statements: KnownStatements, now: float) -> list[Lifetime]:
+        """Merge the statements of another node; return what changed."""
         return [
             lifetime
             for lifetime, statement in statements.items()
@@ -130,7 +133,7 @@
         return self.known_statements((lifetime for lifetime, _ in changed), now)
 
     def forget(self, lifetime: Lifetime) -> None:
-        """Drop what a lifetime said that is over for good."""
+        """Drop the statements of a lifetime that has ended."""
         self.rates.pop(lifetime, None)
         self._limits.pop(lifetime, None)
         self.leaving.discard(lifetime)
@@ -162,7 +165,7 @@
         return True
 
     def _learn_rate(self, lifetime: Lifetime, limit: StatedLimit) -> bool:
-        """Take a later word on a limit; tell whether it says another rate."""
+        """Apply a later limit; return whether its rate is new."""
         known = self._limits.get(lifetime)
         if known is not None and limit.received_at <= known.received_at:
             return False
@@ -170,8 +173,8 @@
             return False
         is_new = known is None or known.rate != limit.rate
         if not is_new:
-            # Only the first word of a rate counts as its time, so that words
-            # that nodes have of each other agree.
+            # Only the first statement of a rate sets its time, so that the
+            # copies that nodes have of each other's statements agree.
             return False
         self._limits[lifetime] = limit
         if limit.rate is None:
@@ -199,6 +202,6 @@
 
 
 def read_decimal(text: bytes) -> float | None:
-    """Read a decimal number that is not negative; None: it is none."""
+    """Parse a non-negative decimal number; return None if it is not one."""
     found = _DECIMAL.fullmatch(text.strip())
     return None if found is None else float(found.group())
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/true_time.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/true_time.py
@@ -1,28 +1,28 @@
-"""Tell the true time on a host whose time of day may jump.
+"""Estimate the true time on a host whose wall clock may jump.
 
-The steady clock plus a fixed offset is the true time. A jump of the time of
-day changes the difference between the clocks at once and is not followed.
+The true time is the steady clock plus a fixed offset. A jump of the wall clock
+changes the difference between both clocks at once and is not followed.
 """
 
 from dataclasses import dataclass
 
-#: Seconds by which the estimate of another node must differ from this
-#: node's own to replace it.
+#: Minimum difference, in seconds, at which another node's estimate replaces
+#: this node's own.
 CORRECTION_THRESHOLD_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class TrueTime:
-    """Hold the offset from the steady clock to the seconds since 1970."""
+    """Store the offset between the steady clock and the seconds since 1970."""
 
     offset: float
 
     def at(self, now: float) -> float:
-        """Return the seconds since 1970 at a steady time."""
+        """Return the seconds since 1970 at a time of the steady clock."""
         return now + self.offset
 
     def correct(self, true_time: float, now: float) -> bool:
-        """Follow the fleet's estimate when it differs; tell whether it did."""
+        """Adopt the fleet's estimate if it differs; return whether it did."""
         if abs(self.at(now) - true_time) < CORRECTION_THRESHOLD_SECONDS:
             return False
         self.offset = true_time - now
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/unit_reports.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/unit_reports.py
@@ -1,4 +1,4 @@
-"""Tell between an entry and the home what was spent and given of limits."""
+"""Represent the units of limits that entries report and the home allocates."""
 
 from dataclasses import dataclass, field
 
@@ -7,31 +7,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySpending:
-    """Tell the home what one entry spent, by workspace.
+    """Report the spending of one entry to the home, by workspace.
 
-    Only a home that hears the entry for the first time needs what follows
-    ``returned``.
+    ``returned`` and the fields after it are needed only by a home that
+    receives the first report of the entry.
     """
 
-    #: Units since the process started, and those of them that came back.
+    #: Units spent since the process started, and those of them returned.
     spent: Units = field(default_factory=dict)
     given_back: Units = field(default_factory=dict)
-    #: Units that came back, by the age of their spending.
+    #: Returned units, by the age of their spending.
     returned: dict[str, ByAge] = field(default_factory=dict)
-    #: What was left of each limit, as an earlier home said last.
+    #: Units left of each limit, as last reported by a previous home.
     levels: Units = field(default_factory=dict)
-    #: What of the units spent, less those back, those levels know of.
+    #: Net units spent that these levels include.
     counted: Units = field(default_factory=dict)
-    #: Units spent in the last window, whether they came back or not.
+    #: Units spent in the last window, returned or not.
     recent: dict[str, ByAge] = field(default_factory=dict)
-    #: Units that the entry may spend without hearing a home.
+    #: Units that the entry may spend without contact to a home.
     held: Units = field(default_factory=dict)
-    #: Entries that shared the limits, as the earlier home said; 0: none did.
+    #: Number of entries that shared the limits, as reported by the previous
+    #: home; 0 if there was none.
     entries: int = 0
 
     @property
     def net(self) -> Units:
-        """Return the units spent, less those that came back."""
+        """Return the units spent minus those returned."""
         return {
             workspace: units - self.given_back.get(workspace, 0)
             for workspace, units in self.spent.items()
@@ -40,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocatedUnits:
-    """State what an entry may spend until it is given more."""
+    """State the units that an entry may spend until the next allocation."""
 
     held: Units = field(default_factory=dict)
-    #: Units besides that it may spend once it hears no home.
+    #: Additional units that it may spend once it has lost contact to the home.
     beyond: Units = field(default_factory=dict)
-    #: What is left of each limit, held or not.
+    #: Units left of each limit, held or not.
     levels: Units = field(default_factory=dict)
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/usage.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/usage.py
@@ -1,14 +1,14 @@
-"""Count the runs that began in each usage window, fleet wide and once.
+"""Count the runs that start in each usage window, once in the fleet.
 
-An entry counts by the window of the true time at which a run began. It sends
-whole counts, never differences, so a report that arrives twice changes
-nothing; the home keeps them by entry and incarnation.
+An entry counts a run in the window of the true time at which it starts. It
+reports totals rather than differences, so that a duplicate report has no
+effect; the home stores them by entry and incarnation.
 """
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-#: Windows that an entry keeps after their end, for a new home.
+#: Number of past windows that an entry retains for a new home.
 RETAINED_WINDOWS = 6
 
 WindowCounts = dict[int, dict[str, int]]
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True)
 class UsageCounts:
-    """Count the runs that began at this entry, by window and workspace."""
+    """Count the runs that started at this entry, by window and workspace."""
 
     window_seconds: float
     windows: WindowCounts = field(default_factory=dict)
 
     def window_of(self, true_time: float) -> int:
-        """Return the number of the window that holds a time since 1970."""
+        """Return the number of the window of a time in seconds since 1970."""
         return int(true_time // self.window_seconds)
 
     def count(self, workspace: str, true_time: float) -> None:
-        """Count one run and drop windows that are long over."""
+        """Count one run and drop old windows."""
         window = self.window_of(true_time)
         row = self.windows.get(window)
         if row is None:
@@ -42,12 +42,12 @@
 
 @dataclass(slots=True)
 class FleetUsage:
-    """Hold the newest counts of each entry at the home."""
+    """Store the latest counts of each entry at the home."""
 
     by_entry: dict[str, WindowCounts] = field(default_factory=dict)
 
     def update(self, entry: str, windows: WindowCounts) -> None:
-        """Take over the counts of one incarnation of an entry."""
+        """Store the counts of one incarnation of an entry."""
         self.by_entry.setdefault(entry, {}).update(windows)
 
     def total(self, window: int) -> dict[str, int]:
@@ -58,7 +58,7 @@
         return dict(counts)
 
     def drop_before(self, window: int) -> None:
-        """Drop the counts of windows that were reported long ago."""
+        """Drop the counts of windows that have been reported."""
         self.by_entry = {
             entry: kept
             for entry, windows in self.by_entry.items()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
@@ -48,10 +48,10 @@
                 sent_at - table.proof_age,
             )
         elif table.configuration_version == state.version:
-            state.freshness.confirm(sent_at - table.proof_age)
+            state.freshness.mark_confirmed(sent_at - table.proof_age)
         listed_at = sent_at - table.upstreams_age
         if table.upstreams is None:
-            state.directory.confirm(listed_at)
+            state.directory.mark_confirmed(listed_at)
         else:
             self._learn_upstreams(table.upstreams, listed_at)
         if state.true_time.correct(table.true_time, now):
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
@@ -44,14 +44,14 @@
             if state.configuration is None:
                 # That there is none is known as well: entries that hear it
                 # need not ask the store too, each on its own.
-                state.freshness.confirm(began_at)
+                state.freshness.mark_confirmed(began_at)
             return
         version = state.version
         if not self._take_over(item.content):
             return
         self._note_writing(item, is_newer=state.version > version)
         if self._is_complete(began_at):
-            state.freshness.confirm(began_at)
+            state.freshness.mark_confirmed(began_at)
 
     def learn(self, source: bytes, confirmed_at: float) -> None:
         """Take over a configuration that was proved the newest at a time.
@@ -60,7 +60,7 @@
             InvalidRecordError: it is none.
         """
         if self._take_over(source):
-            self._state.freshness.confirm(confirmed_at)
+            self._state.freshness.mark_confirmed(confirmed_at)
 
     def _take_over(self, source: bytes) -> bool:
         """Use a configuration; tell whether its version is no older one.
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
@@ -139,7 +139,7 @@
         """
         now = self._state.timers.now()
         if revision >= self._state.directory.revision:
-            self._state.directory.confirm(confirmed_at)
+            self._state.directory.mark_confirmed(confirmed_at)
         before = self._state.directory.rows.keys()
         changed = self._state.directory.apply(
             revision,
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -165,7 +165,7 @@
 
     def learn_report(self, report: EntryReport, now: float) -> None:
         """Take over the report of an entry as the home."""
-        self.fleet.add_report(report, now)
+        self.fleet.apply_report(report, now)
         self.shared_levels.learn(
             report.key,
             report.spending,
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -67,7 +67,7 @@
 
     def learn(self, words: KnownStatements, now: float) -> list[Lifetime]:
         """Take what another node knows; return what had not been known."""
-        news = self.table.learn(words, now)
+        news = self.table.merge(words, now)
         for lifetime in news:
             logger.debug(
                 'Another node says of %s: %s', lifetime, words[lifetime]
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -145,7 +145,7 @@
     lifetime = choice.upstream.lifetime
     is_permit = state.words.permits.take(lifetime, now)
     prefixes = state.granted_prompts.prefixes
-    prefixes.remember(lifetime, request.ask.parts)
+    prefixes.record(lifetime, request.ask.parts)
     grant = Grant(
         number,
         lifetime,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
@@ -57,7 +57,7 @@
     state.loads.begin(upstream.lifetime, choice.prefill)
     state.note_load()
     parts = exchange.work.parts
-    state.prompts.prefixes.remember(upstream.lifetime, parts)
+    state.prompts.prefixes.record(upstream.lifetime, parts)
     if not exchange.sends.sends:
         state.note_read_work(upstream.service, choice.prefill)
     pending = Prefill(state, choice, choice.prefill, state.timers.now())
--- a/tests/test_gateway_crash_signs.py
+++ b/tests/test_gateway_crash_signs.py
@@ -35,7 +35,7 @@
     """Return what a node knows that has read this list at a time."""
     directory = Directory()
     directory.apply(revision, rows, confirmed_at, NO_OUTAGE)
-    directory.confirm(confirmed_at)
+    directory.mark_confirmed(confirmed_at)
     return directory
 
 
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -137,7 +137,7 @@
     upstream = await world.add_upstream(whole())
     await wait_until(lambda: upstream.lifetime in other.directory.rows)
     home.directory.apply = lambda *_: ()
-    home.directory.confirm = lambda _: None
+    home.directory.mark_confirmed = lambda _: None
     world.store.remove(f'{UPSTREAM_PREFIX}{upstream.lifetime}')
     await wait_until(lambda: upstream.lifetime not in other.directory.rows)
     assert other.freshness.may_serve_keys(other.timers.now())
--- a/tests/test_gateway_lifetimes.py
+++ b/tests/test_gateway_lifetimes.py
@@ -103,7 +103,7 @@
     parts = (PromptPart('a', 100),)
     loads.begin(ROW.lifetime, 50)
     loads.fail(ROW.lifetime, 0)
-    prefixes.remember(ROW.lifetime, parts)
+    prefixes.record(ROW.lifetime, parts)
     loads.begin(RESTARTED.lifetime, 70)
     loads.end(ROW.lifetime)
     assert loads.running_at(RESTARTED.lifetime) == 1
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -63,7 +63,7 @@
     def _receive_report(self, number, now):
         report = EntryReport(f'n-{number}', '0', {'u-1': 2}, {'u-1': 100})
         self.reports.append(now)
-        self.fleet.add_report(report, now)
+        self.fleet.apply_report(report, now)
         period = self.fleet.period(now)
         self.levels.learn(
             report.key,
--- a/tests/test_gateway_shortlist.py
+++ b/tests/test_gateway_shortlist.py
@@ -73,7 +73,7 @@
             total += choice.seconds
         lifetime = choice.upstream.lifetime
         loads.begin(lifetime, choice.prefill)
-        prompts.prefixes.remember(lifetime, parts)
+        prompts.prefixes.record(lifetime, parts)
         read_at = now + loads.prefill_at(lifetime) / rate
         heappush(ends, (read_at, lifetime, choice.prefill))
         end = read_at + draw.uniform(0.2, 2.5)
@@ -99,9 +99,9 @@
     loads, prompts = Loads(), PromptHistory()
     shared, own = PromptPart('all', 500), PromptPart('session', 20_000)
     for row in rows:
-        prompts.prefixes.remember(row.lifetime, (shared,))
+        prompts.prefixes.record(row.lifetime, (shared,))
     for holder in rows[60:62]:
-        prompts.prefixes.remember(holder.lifetime, (shared, own))
+        prompts.prefixes.record(holder.lifetime, (shared, own))
         loads.begin(holder.lifetime, 0)
     parts = (shared, own, PromptPart('request', 300))
     ask = Ask('a', 'z1', parts, 20_800)
--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -48,7 +48,7 @@
     table = Statements()
     assert record(table, 1, leaves=True) == [StatementChange.LEAVES]
     assert not record(table, 2)
-    assert not table.learn({UPSTREAM: KnownStatement()}, 3)
+    assert not table.merge({UPSTREAM: KnownStatement()}, 3)
     assert table.leaving == {UPSTREAM}
 
 
@@ -61,7 +61,7 @@
     for order in (statements, list(reversed(statements))):
         table = Statements()
         for statement in order:
-            table.learn({UPSTREAM: statement}, 10)
+            table.merge({UPSTREAM: statement}, 10)
         assert table.rates == {UPSTREAM: 1}
 
 
