--- a/tests/test_gateway_directory.py
+++ b/tests/test_gateway_directory.py
@@ -1,4 +1,4 @@
-"""Tell entries what of the list of upstreams has changed."""
+"""Test that entries follow the upstream list of the home through deltas."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
     ListedUpstream(f'u-{number}', 'llm', '', 'north', slots=8)
     for number in range(6)
 ]
-#: For each row: not listed, listed, leaving.
+#: State of each row: not listed, listed or leaving.
 LISTINGS = st.lists(
     st.lists(st.sampled_from(['', 'serves', 'leaves']), min_size=6, max_size=6),
     min_size=1,
@@ -31,7 +31,7 @@
 
 @given(LISTINGS, st.integers(0, 11))
 def test_entry_catches_up_from_delta(listings, last_applied):
-    """An entry that missed some listings follows by what changed since."""
+    """Test that an entry that missed some listings catches up from a delta."""
     home, entry = Directory(), Directory()
     for number, states in enumerate(listings):
         home.apply(number + 1, listed(states), 0, NO_OUTAGE)
@@ -44,7 +44,7 @@
 
 
 def sync_entry(home, entry):
-    """Let an entry report and learn what the home tells it."""
+    """Run one report of an entry and apply the response of the home."""
     known = entry.delta_base
     if entry.digest == home.digest:
         return
@@ -58,10 +58,11 @@
 
 
 def test_entry_drops_row_retained_after_outage():
-    """The home has seen the end before the entry's own listing.
+    """Guard against an ended upstream that an entry keeps serving.
 
-    The entry kept it as lapsed; no change since then removed it, and five
-    seconds after its leaving it still got work.
+    The home sees the end before the entry's own listing does, and the entry
+    retains the row because of an outage. No later delta removed it, and the
+    upstream still received work five seconds after it had left.
     """
     home, entry = Directory(), Directory()
     for node in (home, entry):
@@ -80,7 +81,7 @@
     st.lists(st.sampled_from(['', 'reads', 'late']), min_size=12, max_size=12),
 )
 def test_entry_converges_to_rows_of_home(listings, outages, entry_reads):
-    """Both may keep what lapsed; two reports later they know the same."""
+    """Test that both agree within two reports, whatever rows they retained."""
     home, entry = Directory(), Directory()
     for number, states in enumerate(listings):
         now = 10 * number
--- a/tests/test_gateway_engine_model.py
+++ b/tests/test_gateway_engine_model.py
@@ -1,4 +1,4 @@
-"""Learn how fast engines read, from what requests show."""
+"""Test that the model estimates prefill speed from requests."""
 
 from itertools import count
 from random import Random
@@ -17,16 +17,16 @@
 )
 
 ENTRIES = 7
-#: Requests after which the model is to be right.
+#: Number of requests after which the estimate must be accurate.
 REQUESTS = 200
 
 
 def train_model(engine, seed, *, silent_fraction=0):
-    """Let entries see requests of an engine; return what the home learns.
+    """Return the speed that the home estimates from requests to an engine.
 
-    Prompts are as long as those of the deployments, from some hundred tokens
-    to fifty thousand; waits vary by a tenth. A part of the engines is silent
-    for ten seconds.
+    Prompt lengths follow those of the deployments, from some hundred tokens to
+    fifty thousand; waits vary by a tenth. A fraction of the requests waits ten
+    seconds, as at an unresponsive engine.
     """
     random = Random(seed)
     model = PrefillModel()
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_silent_engine_does_not_distort_estimate(seed):
-    """One of twelve engines answers nothing; the rest is as fast as before."""
+    """Test one unresponsive engine of twelve; the others keep their speed."""
     learned = train_model(
         PrefillSpeed(0.03, 150_000), seed, silent_fraction=0.08
     )
--- a/tests/test_gateway_identity.py
+++ b/tests/test_gateway_identity.py
@@ -1,4 +1,4 @@
-"""Name a request the same wherever it comes, and no other so."""
+"""Test that identities are equal exactly for attempts of the same request."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/test_gateway_lifetimes.py
+++ b/tests/test_gateway_lifetimes.py
@@ -1,4 +1,4 @@
-"""Follow upstreams that start again under their id, and entries that err."""
+"""Test upstreams that restart under the same id, and malformed records."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
 
 
 def directory(*listings):
-    """Return a directory after some listings."""
+    """Return a directory after applying some listings."""
     known = Directory()
     for number, rows in enumerate(listings):
         known.apply(number + 1, rows, number, NO_OUTAGE)
@@ -29,7 +29,7 @@
 
 
 def serving(known):
-    """Return the lifetimes that may get work."""
+    """Return the lifetimes that may receive work."""
     return {row.lifetime for row in known.serving('llm')}
 
 
@@ -125,7 +125,10 @@
 
 @given(STARTS)
 def test_only_latest_start_serves(listings):
-    """Any order of starts, garbage and gaps; entries follow by changes."""
+    """Test starts, malformed records and gaps in any order.
+
+    The entry follows the home through deltas.
+    """
     home, entry = Directory(), Directory()
     latest: dict[str, int] = {}
     for number, starts in enumerate(listings):
@@ -150,7 +153,7 @@
 
 
 def list_restarted(world, upstream_id, address, born):
-    """Let an upstream start again and write its entry."""
+    """Write the record of an upstream that has restarted."""
     row = ListedUpstream(upstream_id, SERVICE, address, 'north', 4, born=born)
     content = msgspec.json.encode(row).decode()
     world.store.put(f'{UPSTREAM_PREFIX}{upstream_id}', content)
@@ -158,7 +161,10 @@
 
 @in_world
 async def test_malformed_record_hides_no_other(world):
-    """The home lists the others; the entry is counted once a change."""
+    """Test that the others are listed and the malformed record counts once.
+
+    It is counted once for each change of the record, not for each listing.
+    """
     upstream = await world.add_upstream(whole())
     world.store.put(f'{UPSTREAM_PREFIX}u-x', '[]')
     state = await world.add_unready_gateway()
@@ -173,7 +179,7 @@
 
 @in_world
 async def test_restarted_upstream_serves(world):
-    """It is listed, gone, and listed again under its id."""
+    """Test an upstream that is listed, removed and listed again with its id."""
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
     key = f'{UPSTREAM_PREFIX}{upstream.lifetime}'
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -1,7 +1,7 @@
-"""Count no entry as silent that reports as it was told, in any fleet.
+"""Test that entries that report on schedule stay live in any fleet.
 
-The load is that of a fleet that serves: each entry has two requests running
-and reports when its period has passed, late by up to half of it.
+Each entry has two requests running, and reports after its period, late by up
+to half of it.
 """
 
 from dataclasses import dataclass, field
@@ -28,13 +28,13 @@
 
 SIZES = (8, 50, 77, 195, 231, 400, 600)
 LIMITS = {'w': Limit(100_000, 100_000, 8)}
-#: Part of its period by which a report may be late.
+#: Maximum delay of a report, as a fraction of the period.
 MAX_LATENESS = 0.5
 
 
 @dataclass
 class Home:
-    """Hold the tables of a home that entries report to."""
+    """Hold the tables of a home that receives reports from entries."""
 
     size: int
     known_before: int
--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, in any order that nodes hear it."""
+"""Test the statements of upstreams, received by nodes in any order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -33,7 +33,7 @@
 
 
 def test_only_later_run_withdraws_limit():
-    """An answer under way, a refusal and a broken header take none back."""
+    """Test that earlier requests, refusals and invalid headers do not."""
     table = Statements()
     record(table, 1, rate=2)
     assert not record(table, 2, sent_at=0.5)
@@ -91,7 +91,7 @@
 
 @given(STATEMENTS, STATEMENTS)
 def test_nodes_agree_after_exchange(here, there):
-    """Whoever heard what: after both have told, both withhold the same."""
+    """Test that nodes hold the same limits after exchanging statements."""
     tables = [Statements(), Statements()]
     now = 0
     for table, received in zip(tables, (here, there), strict=True):
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -1,4 +1,4 @@
-"""Usage reports when the store has lost what was recorded of them."""
+"""Test usage reports after the store has lost its record of them."""
 
 from collections import defaultdict
 
@@ -19,7 +19,8 @@
 WINDOW = 1.0
 LEASE = 0.5
 BOUNDS = {'usage_window_seconds': WINDOW, 'duty_lease_seconds': LEASE}
-#: Reports before the home ends, and seconds in which the next one makes some.
+#: Number of reports before the store is restored, and seconds for which the
+#: home after that keeps reporting.
 REPORTS_BEFORE_RESTORE = 3
 RUN_SECONDS = 8
 
@@ -48,8 +49,8 @@
     await world.add_upstream(whole())
 
 
-# Guards against a window that is reported again with other counts, since the
-# record of the first report is lost.
+# Guards against reporting a window again with other counts, because the record
+# of its first report was lost.
 @in_world
 async def test_new_home_after_restore(world):
     await add_workspace_and_upstream(world)
@@ -77,7 +78,8 @@
     assert all(len(counts) == 1 for counts in reports.values())
 
 
-# Guards against windows that the home leaves out though it knows what it sent.
+# Guards against omitting windows although the home still has the list of its
+# reports.
 @in_world
 async def test_same_home_after_restore(world):
     await add_workspace_and_upstream(world)
@@ -98,8 +100,8 @@
     assert sorted(reports) == list(range(min(reports), max(reports) + 1))
 
 
-# Guards against the first home of a fleet that takes itself for one that has
-# reported nothing yet.
+# Guards against the first home of a fleet that assumes after a restore that it
+# has reported nothing yet.
 @in_world
 async def test_first_home_resumes_after_reported_windows(world):
     home = await world.add_gateway(**BOUNDS)
