--- a/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
@@ -71,10 +71,10 @@
             total = getattr(self, one.name)
             setattr(self, one.name, total + sign * getattr(other, one.name))
 
-    def decay(self, part: float) -> None:
+    def decay(self, factor: float) -> None:
         """Multiply the weight of all samples by a factor."""
         for one in fields(self):
-            setattr(self, one.name, getattr(self, one.name) * part)
+            setattr(self, one.name, getattr(self, one.name) * factor)
 
     def fit(self) -> PrefillSpeed:
         """Return the least-squares line through the samples."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/fleet.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/fleet.py
@@ -191,12 +191,12 @@
         if now - self._last_expiry < EXPIRY_CHECK_SECONDS:
             return
         self._last_expiry = now
-        old: list[str] = []
+        dropped: list[str] = []
         for key, row in self._reporting.items():
             if row.is_live and now > row.expires_at:
                 self._add_load(row, -1)
                 row.is_live = False
             if now - row.reported_at > ENTRY_RETENTION_SECONDS:
-                old.append(key)
-        for forgotten in old:
+                dropped.append(key)
+        for forgotten in dropped:
             add_counts(self._failed, self._reporting.pop(forgotten).failed, -1)
--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -33,7 +33,7 @@
 
 
 def test_only_later_run_withdraws_limit():
-    """Test that earlier requests, refusals and invalid headers do not."""
+    """Test that older requests, refusals and bad headers keep the limit."""
     table = Statements()
     record(table, 1, rate=2)
     assert not record(table, 2, sent_at=0.5)
