--- a/tests/test_gateway_statements.py
+++ b/tests/test_gateway_statements.py
@@ -100,7 +100,7 @@
             said = Statement(rate=rate, leaves=leaves)
             table.record(lifetime, said, now, now, is_signed=True)
     first, second = tables
-    second.learn(first.words_since(0, now), now)
-    first.learn(second.words_since(0, now), now)
+    second.merge(first.changes_since(0, now), now)
+    first.merge(second.changes_since(0, now), now)
     assert first.rates == second.rates
     assert first.leaving == second.leaving
