--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -63,5 +63,5 @@
     budget = RetryBudget(LIMITS, ENTRIES)
     for second in range(1000):
         budget.earn('llm', second / 2)
-    kept = budget._sent['llm'].first._slots
+    kept = budget._sent['llm'].first._buckets
     assert len(kept) <= LIMITS.window / BUCKET_SECONDS + 1
