--- a/tests/test_gateway_capacity.py
+++ b/tests/test_gateway_capacity.py
@@ -279,7 +279,7 @@
     present = Present(Counter(reclaimable), Counter(others))
     orders = ServiceOrders(demand=Demand(peak=peak, found=first))
     for order in plan(orders, present):
-        assert 0 <= order.count <= SCALING.most
+        assert 0 <= order.count <= SCALING.max_upstreams
         if order.reclaimable:
             there = present.others[order.data_centre]
-            assert order.count + there <= max(SCALING.most, there)
+            assert order.count + there <= max(SCALING.max_upstreams, there)
--- a/tests/test_gateway_identity.py
+++ b/tests/test_gateway_identity.py
@@ -14,6 +14,6 @@
 
 
 @given(PARTS, PARTS)
-def test_identities_are_equal_only_if_all_parts_are(first, second):
+def test_identities_differ_if_any_part_differs(first, second):
     same = request_identity(*first) == request_identity(*second)
     assert same == (first == second)
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize('size', SIZES)
-def test_new_home_receives_reports_at_bounded_rate(size):
+def test_new_home_receives_bounded_report_rate(size):
     home = Home(size, size)
     home.run_until(ASSUMED_SIZE_SECONDS)
     most = (
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -103,7 +103,7 @@
 # Guards against the first home of a fleet that assumes after a restore that it
 # has reported nothing yet.
 @in_world
-async def test_first_home_resumes_after_reported_windows(world):
+async def test_first_home_skips_reported_windows(world):
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     async with store_client(world) as store:
