--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
@@ -74,7 +74,7 @@
     """
     row = directory.rows.get(lifetime)
     if row is None:
-        return directory.proved_at > suspected.since
+        return directory.confirmed_at > suspected.since
     return directory.is_replaced(row)
 
 
@@ -90,7 +90,7 @@
     A row proves this if it began to leave or outlasted the listing delay.
     """
     row = directory.rows.get(lifetime)
-    is_listed = directory.proved_at - suspected.since >= listing_delay
+    is_listed = directory.confirmed_at - suspected.since >= listing_delay
     if row is not None and (row.is_leaving or is_listed and row.is_serving):
         return True
     return now - suspected.since >= MAX_SUSPECTED_SECONDS
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/usage.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/usage.py
@@ -1,32 +1,32 @@
-"""Count the runs that began in each usage window, fleet wide and once.
+"""Count the runs that start in each usage window, once in the fleet.
 
-An entry counts by the window of the true time at which a run began. It sends
-whole counts, never differences, so a report that arrives twice changes
-nothing; the home keeps them by entry and incarnation.
+An entry counts a run in the window of the true time at which it starts. It
+reports totals rather than differences, so that a duplicate report has no
+effect; the home stores them by entry and incarnation.
 """
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-#: Windows that an entry keeps after their end, for a new home.
-KEPT_WINDOWS = 6
+#: Number of past windows that an entry retains for a new home.
+RETAINED_WINDOWS = 6
 
 WindowCounts = dict[int, dict[str, int]]
 
 
 @dataclass(slots=True)
 class UsageCounts:
-    """Count the runs that began at this entry, by window and workspace."""
+    """Count the runs that started at this entry, by window and workspace."""
 
     window_seconds: float
     windows: WindowCounts = field(default_factory=dict)
 
     def window_of(self, true_time: float) -> int:
-        """Return the number of the window that holds a time since 1970."""
+        """Return the number of the window of a time in seconds since 1970."""
         return int(true_time // self.window_seconds)
 
     def count(self, workspace: str, true_time: float) -> None:
-        """Count one run and drop windows that are long over."""
+        """Count one run and drop old windows."""
         window = self.window_of(true_time)
         row = self.windows.get(window)
         if row is None:
@@ -35,19 +35,19 @@
         row[workspace] = row.get(workspace, 0) + 1
 
     def _drop_old(self, newest: int) -> None:
-        old = [key for key in self.windows if key < newest - KEPT_WINDOWS]
+        old = [key for key in self.windows if key < newest - RETAINED_WINDOWS]
         for key in old:
             self.windows.pop(key)
 
 
 @dataclass(slots=True)
 class FleetUsage:
-    """Hold the newest counts of each entry at the home."""
+    """Store the latest counts of each entry at the home."""
 
     by_entry: dict[str, WindowCounts] = field(default_factory=dict)
 
-    def learn(self, entry: str, windows: WindowCounts) -> None:
-        """Take over the counts of one incarnation of an entry."""
+    def update(self, entry: str, windows: WindowCounts) -> None:
+        """Store the counts of one incarnation of an entry."""
         self.by_entry.setdefault(entry, {}).update(windows)
 
     def total(self, window: int) -> dict[str, int]:
@@ -57,14 +57,14 @@
             counts.update(windows.get(window, {}))
         return dict(counts)
 
-    def forget_before(self, window: int) -> None:
-        """Drop the counts of windows that were reported long ago."""
+    def drop_before(self, window: int) -> None:
+        """Drop the counts of windows that have been reported."""
         self.by_entry = {
             entry: kept
             for entry, windows in self.by_entry.items()
-            if (kept := _kept(windows, window))
+            if (kept := _windows_from(windows, window))
         }
 
 
-def _kept(windows: WindowCounts, first: int) -> WindowCounts:
+def _windows_from(windows: WindowCounts, first: int) -> WindowCounts:
     return {key: row for key, row in windows.items() if key >= first}
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/capacity.py
@@ -117,7 +117,9 @@
     per_data_centre = max(
         held, ceil(orders.demand.expected(now) / max(1, data_centres))
     )
-    count = max(scaling.least, min(scaling.most, per_data_centre))
+    count = max(
+        scaling.min_upstreams, min(scaling.max_upstreams, per_data_centre)
+    )
     if orders.is_scarce(now):
         # Reclaimable upstreams stopped during a shortage cannot be ordered
         # again, and on-demand ones cost several times as much.
@@ -212,7 +214,11 @@
         on_demand_plan[expensive] -= removed
         change += removed
     for cheap in data_centres:
-        room = scaling.most - serving.reclaimable[cheap] - on_demand_plan[cheap]
+        room = (
+            scaling.max_upstreams
+            - serving.reclaimable[cheap]
+            - on_demand_plan[cheap]
+        )
         added = max(0, min(room, change))
         on_demand_plan[cheap] += added
         change -= added
@@ -231,7 +237,7 @@
     ordered = orders.in_force.get(
         (data_centre, False), serving.on_demand[data_centre]
     )
-    room = scaling.most - max(ordered, serving.on_demand[data_centre])
+    room = scaling.max_upstreams - max(ordered, serving.on_demand[data_centre])
     reclaimable_order = Order(
         target.service,
         data_centre,
@@ -241,9 +247,9 @@
     # On-demand upstreams that serve stay until reclaimable ones do. None is
     # ordered for a data centre that lost its reclaimable ones if the rest of
     # the fleet suffices.
-    least = scaling.least - serving.reclaimable[data_centre]
+    least = scaling.min_upstreams - serving.reclaimable[data_centre]
     keep = max(planned, min(serving.on_demand[data_centre], least))
-    if ordered >= scaling.most and not orders.is_scarce(now):
+    if ordered >= scaling.max_upstreams and not orders.is_scarce(now):
         # A full data centre accepts no reclaimable upstream until another one
         # has left. While they are scarce, no room is made for them.
         keep = min(keep, ordered - 1)
--- a/packages/spanfall-core/src/spanfall_core/gateway/orders/demand.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/orders/demand.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_core.gateway.known.configuration import EngineLimits
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 
 #: Fraction of an engine's slots that may be busy with tokens still on time.
 TARGET_BATCH_UTILIZATION = 0.7
@@ -41,7 +41,7 @@
 def needed_upstreams(
     engine: EngineLimits,
     load: OfferedLoad,
-    speed: ReadingSpeed,
+    speed: PrefillSpeed,
     present: int,
 ) -> float:
     """Return the number of engines that serve a load with answers on time.
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/balance.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/balance.py
@@ -10,8 +10,8 @@
 
 from xxhash import xxh3_64_intdigest
 
-from spanfall_core.gateway.known.directory import place_on_ring
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.directory import ring_position
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.prefixes import PrefixIndex
@@ -55,7 +55,7 @@
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     sizes: PromptSizes = field(default_factory=PromptSizes)
     #: Prefill speed of the engines of each service, as measured by the home.
-    speeds: dict[str, ReadingSpeed] = field(default_factory=dict)
+    speeds: dict[str, PrefillSpeed] = field(default_factory=dict)
     _shortlists: dict[str, Shortlist[ListedUpstream]] = field(
         default_factory=dict,
     )
@@ -65,9 +65,9 @@
         if request.prompt_tokens:
             self.sizes.record_prompt(request.prompt_tokens, now)
 
-    def speed(self, service: str) -> ReadingSpeed:
+    def speed(self, service: str) -> PrefillSpeed:
         """Return the prefill speed of a service, or a default if unmeasured."""
-        return self.speeds.get(service, ReadingSpeed())
+        return self.speeds.get(service, PrefillSpeed())
 
     def shortlist(
         self,
@@ -77,7 +77,7 @@
         service = rows[0].service
         known = self._shortlists.get(service)
         if known is None or known.rows is not rows:
-            digests = [place_on_ring(row.lifetime) for row in rows]
+            digests = [ring_position(row.lifetime) for row in rows]
             indices = {row.lifetime: at for at, row in enumerate(rows)}
             known = Shortlist(rows, digests, indices)
             self._shortlists[service] = known
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/grants.py
@@ -11,7 +11,7 @@
 from spanfall_core.gateway.known.counting import add_counts
 from spanfall_core.gateway.known.lifetimes import ByLifetime, Lifetime
 from spanfall_core.gateway.known.loads import Loads
-from spanfall_core.gateway.known.reporting import UNHEARD_SECONDS
+from spanfall_core.gateway.known.reporting import LOAD_EXPIRY_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     last_report_at: float = 0
     #: Seconds without a report after which the entry is dropped, derived from
     #: the report period that it was given.
-    load_expires_after: float = UNHEARD_SECONDS
+    load_expires_after: float = LOAD_EXPIRY_SECONDS
     pending: list[Grant] = field(default_factory=list)
 
 
--- a/tests/test_gateway_capacity.py
+++ b/tests/test_gateway_capacity.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from spanfall_core.gateway.known.configuration import EngineLimits, Scaling
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import (
@@ -212,7 +212,7 @@
 
 def test_backlog_is_no_lasting_need():
     engine = EngineLimits(slots=10, cache_tokens=1)
-    speed = ReadingSpeed()
+    speed = PrefillSpeed()
     backlog, full = OfferedLoad(running=300), OfferedLoad(running=30)
     waiting = needed_upstreams(engine, backlog, speed, present=3)
     assert waiting == needed_upstreams(engine, full, speed, present=3)
@@ -330,7 +330,7 @@
     serving = ServingCounts(Counter(reclaimable), Counter(on_demand))
     orders = ServiceOrders(demand=Demand(peak=peak, initial_count=first))
     for order in plan(orders, serving):
-        assert 0 <= order.count <= SCALING.most
+        assert 0 <= order.count <= SCALING.max_upstreams
         if order.reclaimable:
             present = serving.on_demand[order.data_centre]
-            assert order.count + present <= max(SCALING.most, present)
+            assert order.count + present <= max(SCALING.max_upstreams, present)
--- a/tests/test_gateway_crash_signs.py
+++ b/tests/test_gateway_crash_signs.py
@@ -35,11 +35,11 @@
     )
 
 
-def listing(rows, revision=1, proved_at=0):
+def listing(rows, revision=1, confirmed_at=0):
     """Return the directory of a node that read this list at a time."""
     directory = Directory()
-    directory.apply(revision, rows, proved_at, NO_OUTAGE)
-    directory.prove(proved_at)
+    directory.apply(revision, rows, confirmed_at, NO_OUTAGE)
+    directory.mark_confirmed(confirmed_at)
     return directory
 
 
@@ -49,20 +49,22 @@
 
 
 def test_removed_row_confirms_a_crash():
-    directory = listing([upstream('u-1')], proved_at=1)
+    directory = listing([upstream('u-1')], confirmed_at=1)
     found = settle(suspect_all('u-1', 'u-2'), directory, HEARTBEAT, 1)
     assert found == SettledCrashes(ended=('u-2',))
 
 
 def test_older_list_proves_nothing():
-    directory = listing([upstream('u-1')], proved_at=1)
+    directory = listing([upstream('u-1')], confirmed_at=1)
     found = settle(suspect_all('u-2', since=2), directory, HEARTBEAT, 3)
     assert found == SettledCrashes()
 
 
 def test_reused_address_confirms_a_crash():
     rows = [upstream('u-1', 'a:1'), upstream('u-2', 'a:1')]
-    found = settle(suspect_all('u-1'), listing(rows, proved_at=1), HEARTBEAT, 1)
+    found = settle(
+        suspect_all('u-1'), listing(rows, confirmed_at=1), HEARTBEAT, 1
+    )
     assert found == SettledCrashes(ended=('u-1',))
 
 
@@ -70,22 +72,22 @@
 def test_remaining_row_proves_upstream_alive(heartbeat):
     rows = [upstream('u-1')]
     late = max_listing_delay(heartbeat)
-    for proved_at, found in ((late - 0.1, SettledCrashes()), (late, None)):
+    for confirmed_at, found in ((late - 0.1, SettledCrashes()), (late, None)):
         expected = found or SettledCrashes(alive=('u-1',))
-        directory = listing(rows, proved_at=proved_at)
+        directory = listing(rows, confirmed_at=confirmed_at)
         assert (
             settle(suspect_all('u-1'), directory, heartbeat, late) == expected
         )
 
 
 def test_leaving_upstream_is_alive():
-    directory = listing([upstream('u-1', leaving=True)], proved_at=1)
+    directory = listing([upstream('u-1', leaving=True)], confirmed_at=1)
     found = settle(suspect_all('u-1'), directory, HEARTBEAT, 1)
     assert found == SettledCrashes(alive=('u-1',))
 
 
 def test_suspicion_expires_while_store_is_away():
-    directory = listing([upstream('u-1')], proved_at=0)
+    directory = listing([upstream('u-1')], confirmed_at=0)
     found = settle(
         suspect_all('u-1'), directory, HEARTBEAT, MAX_SUSPECTED_SECONDS
     )
--- a/tests/test_gateway_demand.py
+++ b/tests/test_gateway_demand.py
@@ -1,7 +1,7 @@
 """Estimate the need for engines from offered load, as a decaying peak."""
 
 from spanfall_core.gateway.known.configuration import EngineLimits
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.orders.demand import (
     PEAK_HALF_LIFE_SECONDS,
     TARGET_BATCH_UTILIZATION,
@@ -24,7 +24,7 @@
 
 def test_need_counts_running_and_reading():
     engine = EngineLimits(slots=32, cache_tokens=1)
-    speed = ReadingSpeed(rate=60_000)
+    speed = PrefillSpeed(rate=60_000)
     prefill_rate = 2 * speed.rate * TARGET_PREFILL_UTILIZATION
     reading = OfferedLoad(prefill_rate=prefill_rate)
     both = OfferedLoad(
@@ -33,7 +33,7 @@
     assert needed_upstreams(engine, OfferedLoad(), speed, present=9) == 0
     assert 1.9 < needed_upstreams(engine, reading, speed, present=9) < 2.1
     assert 6.9 < needed_upstreams(engine, both, speed, present=9) < 7.1
-    faster = ReadingSpeed(rate=120_000)
+    faster = PrefillSpeed(rate=120_000)
     assert 5.9 < needed_upstreams(engine, both, faster, present=9) < 6.1
 
 
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.loads import Loads
-from spanfall_core.gateway.known.reporting import UNHEARD_SECONDS
+from spanfall_core.gateway.known.reporting import LOAD_EXPIRY_SECONDS
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
 from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import (
@@ -71,7 +71,7 @@
     book = GrantBook()
     book.apply_report('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
     book.grant('e', Grant(1, 'u-1', 5))
-    book.drop_silent_entries(UNHEARD_SECONDS + 1)
+    book.drop_silent_entries(LOAD_EXPIRY_SECONDS + 1)
     assert not book.running
     assert not book.prefill
 
--- a/tests/test_gateway_order_patterns.py
+++ b/tests/test_gateway_order_patterns.py
@@ -153,12 +153,12 @@
     for second in range(5):
         directory.apply(second + 1, rows, second, float('-inf'))
     demand = Demand()
-    demand.record_initial_count(50, directory.grown_at('llm'), 5)
+    demand.record_initial_count(50, directory.last_added_at('llm'), 5)
     assert demand.is_registration_complete(5)
     more = [*rows, replace(rows[0], upstream_id='u-50')]
     directory.apply(9, more, 6, float('-inf'))
     late = Demand()
-    late.record_initial_count(51, directory.grown_at('llm'), 6)
+    late.record_initial_count(51, directory.last_added_at('llm'), 6)
     assert not late.is_registration_complete(6)
 
 
--- a/tests/test_gateway_retry_budget.py
+++ b/tests/test_gateway_retry_budget.py
@@ -3,7 +3,7 @@
 from itertools import product
 
 import pytest
-from spanfall_core.gateway.known.spending import SLOT_SECONDS
+from spanfall_core.gateway.known.spending import BUCKET_SECONDS
 from spanfall_core.gateway.routing.retry_budget import RetryBudget, RetryLimits
 
 #: As in the deployments: a fifth of the requests plus 54 in any 10 s.
@@ -63,5 +63,5 @@
     budget = RetryBudget(LIMITS, ENTRIES)
     for second in range(1000):
         budget.record_request('llm', second / 2)
-    kept = budget._sent['llm'].requests._slots
-    assert len(kept) <= LIMITS.window / SLOT_SECONDS + 1
+    kept = budget._sent['llm'].requests._buckets
+    assert len(kept) <= LIMITS.window / BUCKET_SECONDS + 1
