--- a/packages/spanfall-core/src/spanfall_core/gateway/known/counting.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/counting.py
@@ -1,4 +1,4 @@
-"""Add up counts by a key, as changes of them come."""
+"""Aggregate counts by key, incrementally."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -12,7 +12,10 @@
     counts: Mapping[Key, int],
     sign: int = 1,
 ) -> None:
-    """Add counts to a total, or with a sign of -1 take them off; no zeros."""
+    """Add counts to a total, or subtract them if the sign is -1.
+
+    Keys whose count becomes zero are removed.
+    """
     for key, count in counts.items():
         added = total[key] + sign * count
         if added:
@@ -21,13 +24,13 @@
             total.pop(key, None)
 
 
-def less(
+def subtract_counts(
     counts: Mapping[Key, int],
     part: Mapping[Key, int],
 ) -> dict[Key, int]:
     """Return the differences that are not zero."""
     return {
-        key: left
+        key: difference
         for key, count in counts.items()
-        if (left := count - part.get(key, 0))
+        if (difference := count - part.get(key, 0))
     }
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/directory.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/directory.py
@@ -1,9 +1,10 @@
-"""Keep the table of upstreams that the platform lists.
+"""Maintain the table of upstreams that the platform lists.
 
-A lifetime that was seen leaving or gone never comes back; another one of the
-same upstream does. Rows that vanish right after an outage of the store get a
-short time to be written again. An entry that names no upstream to use pauses
-the one that it belongs to, until the upstream writes it again.
+A lifetime that was listed as leaving or was removed never returns to service;
+a later lifetime of the same upstream does. Rows that are missing right after
+an outage of the store are retained for a short time, so that they can be
+written again. An unusable record pauses the upstream that it belongs to until
+the upstream writes a usable one.
 """
 
 from collections import Counter
@@ -19,62 +20,64 @@
     name_lifetime,
 )
 from spanfall_core.gateway.known.listed import ListedUpstream
-from spanfall_core.gateway.known.timelines import WRITTEN_AGAIN_SECONDS
+from spanfall_core.gateway.known.timelines import REWRITE_SECONDS
 
-#: Lifetimes remembered as over; a listing that is late by more is not seen.
-REMEMBERED_ENDS = 4096
-#: Bits of a digest, so that any codec carries it.
-DIGEST_BITS = 0xFFFFFFFFFFFF
-#: No upstream, where nobody keeps what they say.
-NONE_LEAVING: AbstractSet[Lifetime] = frozenset()
+#: Maximum number of ended lifetimes that are remembered; an outdated listing
+#: from before the oldest of them is not recognised.
+MAX_ENDED_LIFETIMES = 4096
+#: Mask for the digest: 48 bits, which any codec can represent.
+DIGEST_MASK = 0xFFFFFFFFFFFF
+#: Default for a directory whose owner tracks no statements of upstreams.
+NO_LIFETIMES: AbstractSet[Lifetime] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChange:
-    """State what of a directory has changed since a revision."""
+    """Describe how a directory has changed since a revision."""
 
     rows: tuple[ListedUpstream, ...]
     removed: tuple[Lifetime, ...]
 
 
 class Directory:
-    """Hold the upstreams that may get work, by service."""
+    """Index the upstreams that may receive work, by service."""
 
     def __init__(
         self,
-        said_leaving: AbstractSet[Lifetime] = NONE_LEAVING,
+        said_leaving: AbstractSet[Lifetime] = NO_LIFETIMES,
     ) -> None:
-        """Start with no upstream known.
+        """Start with an empty directory.
 
-        ``said_leaving`` are the lifetimes that said that they leave, kept by
-        their owner. That holds for good: a listing may be older than the word,
-        or the upstream may not have reached the store.
+        ``said_leaving`` is the set of lifetimes that stated in an answer that
+        they are leaving; its owner updates it. The statement is final: a
+        listing may predate it, or the upstream may have failed to update its
+        record in the store.
         """
         self._said_leaving = said_leaving
         self.revision = 0
-        #: Start of the newest read that showed these rows to be the newest.
-        self.proved_at = float('-inf')
-        #: Digest of the rows: equal where nodes know the same upstreams.
+        #: Start time of the latest read that confirmed these rows as current.
+        self.confirmed_at = float('-inf')
+        #: Digest of the rows, equal on nodes that have the same upstreams.
         self.digest = 0
         self.rows: dict[Lifetime, ListedUpstream] = {}
-        #: Whether these rows differ from those of the node that told changes
-        #: of them, so that all have to be told.
-        self.is_apart = False
-        #: Lifetimes that are over, oldest first, and whose they are.
+        #: Whether these rows differ from those of the node that sends deltas,
+        #: so that the node has to send all rows.
+        self.has_diverged = False
+        #: Ended lifetimes with their upstream ids, oldest first.
         self._ended: dict[Lifetime, str] = {}
-        #: Those listed as leaving: a copy that the store was restored from may
-        #: list them as they were before.
-        self._left: set[Lifetime] = set()
-        #: The latest start that is known of each upstream.
-        self._born: dict[str, int] = {}
+        #: Lifetimes that were listed as leaving; a backup from which the store
+        #: was restored may still list them as serving.
+        self._seen_leaving: set[Lifetime] = set()
+        #: Latest known start time of each upstream.
+        self._latest_start: dict[str, int] = {}
         self._by_service: dict[str, list[ListedUpstream]] = {}
-        #: Lifetimes that are listed at each address.
-        self._at_address: Counter[str] = Counter()
-        #: When another upstream of each service was last listed.
-        self._grown_at: dict[str, float] = {}
-        #: Revision of the listing that changed each row or had it no more.
-        self._changed: dict[Lifetime, int] = {}
-        self._removed: dict[Lifetime, int] = {}
+        #: Number of listed lifetimes at each address.
+        self._address_counts: Counter[str] = Counter()
+        #: When a new upstream of each service was last listed.
+        self._last_added_at: dict[str, float] = {}
+        #: Revision of the listing that changed or removed each row.
+        self._changed_in: dict[Lifetime, int] = {}
+        self._removed_in: dict[Lifetime, int] = {}
 
     def apply(
         self,
@@ -84,77 +87,81 @@
         outage_ended: float,
         unusable: Collection[str] = (),
     ) -> tuple[ListedUpstream, ...]:
-        """Take over a listing unless it is older than what is known.
+        """Apply a listing unless it is older than the current one.
 
-        ``outage_ended`` is when the store answered again after its last
-        outage, ``unusable`` names upstreams whose entries cannot be used.
-        Return the rows that began to leave or went.
+        ``outage_ended`` is the time at which the store answered again after
+        its last outage; ``unusable`` holds the ids of upstreams whose records
+        cannot be used. Return the previous rows that have started to leave or
+        are gone.
         """
         if revision < self.revision:
             return ()
         before = self.rows
         self.revision = revision
-        found = self._newest(listed, unusable)
-        lapsed = self._lapsed(found, now, outage_ended)
-        # What is kept beyond the listing no change since it would remove.
-        self.is_apart = bool(lapsed)
-        self.rows = found | lapsed
+        found = self._current_rows(listed, unusable)
+        retained = self._retained_rows(found, now, outage_ended)
+        # Rows retained beyond the listing are not removed by any later delta.
+        self.has_diverged = bool(retained)
+        self.rows = found | retained
         changed = tuple(
             row
             for row in before.values()
             if not row.is_leaving and self._is_ending(row.lifetime)
         )
         for gone in before.keys() - self.rows.keys():
-            self._note_ended(gone, before[gone].upstream_id)
-            self._changed.pop(gone, None)
-            self._removed[gone] = revision
+            self._record_ended(gone, before[gone].upstream_id)
+            self._changed_in.pop(gone, None)
+            self._removed_in[gone] = revision
         for key, row in self.rows.items():
             if before.get(key) != row:
-                self._changed[key] = revision
+                self._changed_in[key] = revision
             if key not in before:
-                self._grown_at[row.service] = now
+                self._last_added_at[row.service] = now
         self._index()
         return changed
 
-    def _newest(
+    def _current_rows(
         self,
         listed: Iterable[ListedUpstream],
         unusable: Collection[str],
     ) -> dict[Lifetime, ListedUpstream]:
-        """Return the rows of a listing that are not over.
+        """Return the rows of a listing whose lifetimes have not ended.
 
-        An entry with an earlier start than is known was not written by the
-        upstream as it is now: like one that cannot be used, it pauses it.
+        A record with an earlier start than the latest known one does not
+        describe the current lifetime; it pauses the upstream like an unusable
+        record.
         """
         found: dict[Lifetime, ListedUpstream] = {}
         paused = set(unusable)
         for row in listed:
-            if is_earlier(row.born, self._born.get(row.upstream_id)):
+            if is_earlier(row.born, self._latest_start.get(row.upstream_id)):
                 paused.add(row.upstream_id)
                 continue
             if row.born is not None:
-                self._born[row.upstream_id] = row.born
+                self._latest_start[row.upstream_id] = row.born
             if row.lifetime not in self._ended:
-                found[row.lifetime] = self._with_word(self._as_it_left(row))
+                found[row.lifetime] = self._with_statement(
+                    self._with_past_leaving(row)
+                )
         paused -= {usable.upstream_id for usable in found.values()}
-        return found | self._pause(paused) if paused else found
+        return found | self._paused_rows(paused) if paused else found
 
-    def _as_it_left(self, row: ListedUpstream) -> ListedUpstream:
-        """Return a row that leaves if it was ever listed as leaving."""
+    def _with_past_leaving(self, row: ListedUpstream) -> ListedUpstream:
+        """Return a row marked as leaving if it was ever listed as leaving."""
         if row.leaving:
-            self._left.add(row.lifetime)
-        elif row.lifetime in self._left:
+            self._seen_leaving.add(row.lifetime)
+        elif row.lifetime in self._seen_leaving:
             return replace(row, leaving=True)
         return row
 
-    def _with_word(self, row: ListedUpstream) -> ListedUpstream:
-        """Return a row with what its upstream said itself."""
-        said = row.lifetime in self._said_leaving
-        if said == row.said_leaving:
+    def _with_statement(self, row: ListedUpstream) -> ListedUpstream:
+        """Return a row updated with the statement of its upstream."""
+        announced = row.lifetime in self._said_leaving
+        if announced == row.said_leaving:
             return row
-        return replace(row, said_leaving=said)
+        return replace(row, said_leaving=announced)
 
-    def _pause(self, paused: set[str]) -> dict[Lifetime, ListedUpstream]:
+    def _paused_rows(self, paused: set[str]) -> dict[Lifetime, ListedUpstream]:
         return {
             key: replace(row, paused=True)
             for key, row in self.rows.items()
@@ -162,28 +169,28 @@
         }
 
     def changes_since(self, revision: int) -> DirectoryChange:
-        """Return what a node that knows a revision has to learn."""
+        """Return the delta for a node that has the given revision."""
         rows = (
             self.rows[key]
-            for key, changed in self._changed.items()
+            for key, changed in self._changed_in.items()
             if changed > revision and key in self.rows
         )
         removed = (
-            key for key, gone in self._removed.items() if gone > revision
+            key for key, gone in self._removed_in.items() if gone > revision
         )
         return DirectoryChange(tuple(rows), tuple(removed))
 
     @property
-    def told_revision(self) -> int:
-        """Return the revision since which changes are enough; 0: tell all."""
-        return 0 if self.is_apart else self.revision
+    def delta_base(self) -> int:
+        """Return the revision to build a delta on; 0 requests all rows."""
+        return 0 if self.has_diverged else self.revision
 
-    def compare(self, digest: int) -> None:
-        """Compare with the digest of the node that told what has changed."""
-        self.is_apart = digest != self.digest
+    def check_digest(self, digest: int) -> None:
+        """Compare the digest of the node that sent the last delta."""
+        self.has_diverged = digest != self.digest
 
     def with_change(self, change: DirectoryChange) -> list[ListedUpstream]:
-        """Return the rows as they are after a change."""
+        """Return the rows after applying a delta."""
         rows = {
             key: row
             for key, row in self.rows.items()
@@ -192,39 +199,40 @@
         rows.update((row.lifetime, row) for row in change.rows)
         return list(rows.values())
 
-    def prove(self, proved_at: float) -> None:
-        """Note a read that showed the rows; an older one changes nothing."""
-        self.proved_at = max(self.proved_at, proved_at)
+    def mark_confirmed(self, confirmed_at: float) -> None:
+        """Record a read that confirmed the rows; older reads have no effect."""
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def serving(self, service: str) -> list[ListedUpstream]:
-        """Return the upstreams of a service that may get new work.
+        """Return the upstreams of a service that may receive new work.
 
-        All nodes that know the same lifetimes have them in the same order,
-        which has nothing to do with their data centres.
+        Nodes with the same lifetimes return them in the same order, which is
+        independent of their data centres.
         """
         return self._by_service.get(service, [])
 
     def is_replaced(self, row: ListedUpstream) -> bool:
-        """Tell whether another lifetime has the address of a listed one."""
-        return self._at_address[row.address] > 1
+        """Return whether another lifetime is listed at the address of a row."""
+        return self._address_counts[row.address] > 1
 
-    def grown_at(self, service: str) -> float:
-        """Return when another upstream of a service was last listed."""
-        return self._grown_at.get(service, float('-inf'))
+    def last_added_at(self, service: str) -> float:
+        """Return when a new upstream of a service was last listed."""
+        return self._last_added_at.get(service, float('-inf'))
 
-    def note_words(self, lifetimes: Iterable[Lifetime]) -> None:
-        """Take over what some upstreams have just said of themselves."""
+    def apply_statements(self, lifetimes: Iterable[Lifetime]) -> None:
+        """Apply new statements of upstreams that they are leaving."""
         services: set[str] = set()
         for lifetime in lifetimes:
             row = self.rows.get(lifetime)
             if row is None:
                 continue
-            heeding = self._with_word(row)
-            if heeding is not row:
-                self.rows[lifetime] = heeding
+            updated = self._with_statement(row)
+            if updated is not row:
+                self.rows[lifetime] = updated
                 services.add(row.service)
         for service in services:
-            # The order stays, which is dear to find among thousands.
+            # Filtering keeps the order; sorting thousands of rows again is
+            # expensive.
             self._by_service[service] = [
                 row
                 for row in self.serving(service)
@@ -232,35 +240,35 @@
             ]
 
     def end(self, lifetime: Lifetime) -> None:
-        """Note that a lifetime has proved to be over."""
+        """Remove a lifetime that was found to have ended."""
         row = self.rows.pop(lifetime, None)
         if row is not None:
-            self._note_ended(lifetime, row.upstream_id)
+            self._record_ended(lifetime, row.upstream_id)
             self._index()
 
-    def _note_ended(self, lifetime: Lifetime, upstream_id: str) -> None:
+    def _record_ended(self, lifetime: Lifetime, upstream_id: str) -> None:
         self._ended[lifetime] = upstream_id
-        self._left.discard(lifetime)
-        if len(self._ended) <= REMEMBERED_ENDS:
+        self._seen_leaving.discard(lifetime)
+        if len(self._ended) <= MAX_ENDED_LIFETIMES:
             return
         oldest = next(iter(self._ended))
         forgotten = self._ended.pop(oldest)
-        self._removed.pop(oldest, None)
-        born = self._born.get(forgotten)
+        self._removed_in.pop(oldest, None)
+        born = self._latest_start.get(forgotten)
         if oldest == name_lifetime(forgotten, born):
-            self._born.pop(forgotten, None)
+            self._latest_start.pop(forgotten, None)
 
     def _is_ending(self, lifetime: Lifetime) -> bool:
         row = self.rows.get(lifetime)
         return row is None or row.is_leaving
 
-    def _lapsed(
+    def _retained_rows(
         self,
         found: dict[Lifetime, ListedUpstream],
         now: float,
         outage_ended: float,
     ) -> dict[Lifetime, ListedUpstream]:
-        if now - outage_ended > WRITTEN_AGAIN_SECONDS:
+        if now - outage_ended > REWRITE_SECONDS:
             return {}
         listed = {row.upstream_id for row in found.values()}
         return {
@@ -271,26 +279,26 @@
 
     def _index(self) -> None:
         by_service: dict[str, list[ListedUpstream]] = {}
-        for row in sorted(self.rows.values(), key=_ring_place):
+        for row in sorted(self.rows.values(), key=_ring_position):
             if row.is_serving:
                 by_service.setdefault(row.service, []).append(row)
         self._by_service = by_service
         listed = self.rows.values()
-        self._at_address = Counter(known.address for known in listed)
+        self._address_counts = Counter(known.address for known in listed)
         self.digest = _digest(self.rows.values())
 
 
-def place_on_ring(lifetime: Lifetime) -> int:
-    """Return the place of a lifetime on a ring that all nodes share."""
+def ring_position(lifetime: Lifetime) -> int:
+    """Return the position of a lifetime on the hash ring of all nodes."""
     return xxh3_64_intdigest(lifetime.encode())
 
 
-def _ring_place(row: ListedUpstream) -> int:
-    return place_on_ring(row.lifetime)
+def _ring_position(row: ListedUpstream) -> int:
+    return ring_position(row.lifetime)
 
 
 def _digest(rows: Iterable[ListedUpstream]) -> int:
     known = sorted(
         (row.lifetime, row.address, row.leaving, row.paused) for row in rows
     )
-    return xxh3_64_intdigest(repr(known).encode()) & DIGEST_BITS
+    return xxh3_64_intdigest(repr(known).encode()) & DIGEST_MASK
--- a/packages/spanfall-core/src/spanfall_core/gateway/known/statements.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/statements.py
@@ -1,8 +1,9 @@
-"""Keep what upstreams say of themselves in their answers.
+"""Store what upstreams state about themselves in their answers.
 
-An upstream may name a limit over all entries, which stands until it names
-another one or none, and may say that it leaves, which holds for its lifetime.
-Nodes tell each other by age; of two words on one limit the later one counts.
+An upstream may state a limit for all entries together, which applies until it
+states another limit or none, and may state that it is leaving, which applies
+to its lifetime. Nodes exchange statements with their age; of two statements on
+the same limit the later one applies.
 """
 
 import re
@@ -13,143 +14,147 @@
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Lifetimes of which a word is kept; those that spoke longest ago go first.
-REMEMBERED = 16_384
-#: Digits of a decimal number that is read; more state no rate and no time.
-DIGITS = 9
+#: Maximum number of lifetimes kept; those with the oldest change go first.
+MAX_LIFETIMES = 16_384
+#: Maximum digits before and after the decimal point; longer numbers are not a
+#: valid rate or time.
+MAX_DIGITS = 9
 
-_DECIMAL = re.compile(rb'(\d{1,%d})(\.\d{0,%d})?' % (DIGITS, DIGITS))
+_DECIMAL = re.compile(rb'(\d{1,%d})(\.\d{0,%d})?' % (MAX_DIGITS, MAX_DIGITS))
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """Hold what one answer says of its upstream."""
+    """Represent what one answer states about its upstream."""
 
-    #: Requests a second that it takes from all entries together.
+    #: Requests per second that it accepts from all entries together.
     rate: float | None = None
-    #: Whether it named a limit that cannot be read, which says nothing.
-    is_rate_unread: bool = False
+    #: Whether it stated a limit that cannot be parsed, which is ignored.
+    is_rate_invalid: bool = False
     leaves: bool = False
-    #: Seconds for which it wants nothing from the entry that it answered.
+    #: Seconds for which it accepts no requests from the entry that it
+    #: answered.
     backoff: float = 0
 
 
 @dataclass(frozen=True, slots=True)
-class KnownWord:
-    """State what is known of one upstream, as nodes tell it each other."""
+class KnownStatement:
+    """Represent what is known of one upstream, as exchanged between nodes."""
 
-    #: None: it names no limit.
+    #: None if it states no limit.
     rate: float | None = None
-    #: Seconds since that was heard; None: never.
+    #: Seconds since the rate was received; None if never.
     rate_age: float | None = None
     leaves: bool = False
 
 
 @unique
-class News(StrEnum):
-    """Name what an answer tells that was not known."""
+class StatementChange(StrEnum):
+    """Classify the new information in an answer."""
 
     LIMIT = 'limit'
     NO_LIMIT = 'no-limit'
-    UNREAD_LIMIT = 'unread-limit'
+    INVALID_LIMIT = 'unread-limit'
     LEAVES = 'leaves'
     BACK_OFF = 'back-off'
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
-    """Hold the last word of an upstream on its limit."""
+class StatedLimit:
+    """Store the latest limit that an upstream stated."""
 
     rate: float | None
-    heard_at: float
+    received_at: float
 
 
-Words = dict[Lifetime, KnownWord]
+KnownStatements = dict[Lifetime, KnownStatement]
 
 
 @dataclass(slots=True)
 class Statements:
-    """Hold what upstreams said, and in which order this node learned it."""
+    """Store the statements of upstreams, in the order of their changes."""
 
-    #: Grows with each change, so that others can ask what is new.
+    #: Incremented with each change, so that others can request later ones.
     version: int = 0
-    #: Requests a second of those that name a limit now.
+    #: Requests per second of the upstreams that state a limit now.
     rates: dict[Lifetime, float] = field(default_factory=dict)
-    #: Those that said that they leave.
+    #: Upstreams that stated that they are leaving.
     leaving: set[Lifetime] = field(default_factory=set)
-    _limits: dict[Lifetime, NamedLimit] = field(default_factory=dict)
-    #: Version of the last change of each, oldest first.
+    _limits: dict[Lifetime, StatedLimit] = field(default_factory=dict)
+    #: Version of the last change of each upstream, oldest first.
     _changed: dict[Lifetime, int] = field(default_factory=dict)
 
-    def hear(
+    def record(
         self,
         lifetime: Lifetime,
-        said: Statement,
+        statement: Statement,
         sent_at: float,
         now: float,
         *,
         is_signed: bool,
-    ) -> list[News]:
-        """Take what an answer says that arrives now; return what is new.
+    ) -> list[StatementChange]:
+        """Record the statement of an answer received now; return what is new.
 
-        ``sent_at`` is when its request was sent. An answer without a limit
-        takes it back if the upstream ran a request that was sent after the
-        limit was known here.
+        ``sent_at`` is when the request was sent. An answer without a limit
+        withdraws the limit if it is signed, which shows that the upstream ran
+        the request, and the request was sent after the limit was received.
         """
-        news: list[News] = []
-        if said.leaves and self._learn_leaving(lifetime):
-            news.append(News.LEAVES)
-        if said.is_rate_unread:
-            return [*news, News.UNREAD_LIMIT]
-        if said.rate is not None:
-            if self._learn_rate(lifetime, NamedLimit(said.rate, now)):
-                news.append(News.LIMIT)
-        elif is_signed and self._is_taken_back(lifetime, sent_at):
-            self._learn_rate(lifetime, NamedLimit(None, now))
-            news.append(News.NO_LIMIT)
-        return news
-
-    def learn(self, words: Words, now: float) -> list[Lifetime]:
-        """Take what another node knows; return what had not been known."""
+        changes: list[StatementChange] = []
+        if statement.leaves and self._learn_leaving(lifetime):
+            changes.append(StatementChange.LEAVES)
+        if statement.is_rate_invalid:
+            return [*changes, StatementChange.INVALID_LIMIT]
+        if statement.rate is not None:
+            if self._learn_rate(lifetime, StatedLimit(statement.rate, now)):
+                changes.append(StatementChange.LIMIT)
+        elif is_signed and self._is_withdrawn(lifetime, sent_at):
+            self._learn_rate(lifetime, StatedLimit(None, now))
+            changes.append(StatementChange.NO_LIMIT)
+        return changes
+
+    def merge(self, statements: KnownStatements, now: float) -> list[Lifetime]:
+        """Merge the statements of another node; return what changed."""
         return [
             lifetime
-            for lifetime, word in words.items()
-            if self._learn_word(lifetime, word, now)
+            for lifetime, statement in statements.items()
+            if self._learn_statement(lifetime, statement, now)
         ]
 
-    def words(self, lifetimes: Iterable[Lifetime], now: float) -> Words:
+    def known_statements(
+        self, lifetimes: Iterable[Lifetime], now: float
+    ) -> KnownStatements:
         """Return what is known of some upstreams."""
-        return {one: self._word(one, now) for one in lifetimes}
+        return {one: self._known_statement(one, now) for one in lifetimes}
 
-    def words_since(self, version: int, now: float) -> Words:
+    def changes_since(self, version: int, now: float) -> KnownStatements:
         """Return what has changed since a version of this table."""
         newest_first = reversed(self._changed.items())
         changed = takewhile(lambda row: row[1] > version, newest_first)
-        return self.words((lifetime for lifetime, _ in changed), now)
+        return self.known_statements((lifetime for lifetime, _ in changed), now)
 
     def forget(self, lifetime: Lifetime) -> None:
-        """Drop what a lifetime said that is over for good."""
+        """Drop the statements of a lifetime that has ended."""
         self.rates.pop(lifetime, None)
         self._limits.pop(lifetime, None)
         self.leaving.discard(lifetime)
         self._changed.pop(lifetime, None)
 
-    def _is_taken_back(self, lifetime: Lifetime, sent_at: float) -> bool:
+    def _is_withdrawn(self, lifetime: Lifetime, sent_at: float) -> bool:
         known = self._limits.get(lifetime)
         if known is None or known.rate is None:
             return False
-        return sent_at >= known.heard_at
+        return sent_at >= known.received_at
 
-    def _learn_word(
+    def _learn_statement(
         self,
         lifetime: Lifetime,
-        word: KnownWord,
+        statement: KnownStatement,
         now: float,
     ) -> bool:
-        is_new = word.leaves and self._learn_leaving(lifetime)
-        if word.rate_age is None:
+        is_new = statement.leaves and self._learn_leaving(lifetime)
+        if statement.rate_age is None:
             return is_new
-        limit = NamedLimit(word.rate, now - word.rate_age)
+        limit = StatedLimit(statement.rate, now - statement.rate_age)
         return self._learn_rate(lifetime, limit) or is_new
 
     def _learn_leaving(self, lifetime: Lifetime) -> bool:
@@ -159,17 +164,17 @@
         self._note_changed(lifetime)
         return True
 
-    def _learn_rate(self, lifetime: Lifetime, limit: NamedLimit) -> bool:
-        """Take a later word on a limit; tell whether it says another rate."""
+    def _learn_rate(self, lifetime: Lifetime, limit: StatedLimit) -> bool:
+        """Apply a later limit; return whether its rate is new."""
         known = self._limits.get(lifetime)
-        if known is not None and limit.heard_at <= known.heard_at:
+        if known is not None and limit.received_at <= known.received_at:
             return False
         if known is None and limit.rate is None:
             return False
         is_new = known is None or known.rate != limit.rate
         if not is_new:
-            # Only the first word of a rate counts as its time, so that words
-            # that nodes have of each other agree.
+            # Only the first statement of a rate sets its time, so that the
+            # copies that nodes have of each other's statements agree.
             return False
         self._limits[lifetime] = limit
         if limit.rate is None:
@@ -183,18 +188,20 @@
         self.version += 1
         self._changed.pop(lifetime, None)
         self._changed[lifetime] = self.version
-        if len(self._changed) > REMEMBERED:
+        if len(self._changed) > MAX_LIFETIMES:
             self.forget(next(iter(self._changed)))
 
-    def _word(self, lifetime: Lifetime, now: float) -> KnownWord:
+    def _known_statement(
+        self, lifetime: Lifetime, now: float
+    ) -> KnownStatement:
         limit = self._limits.get(lifetime)
         leaves = lifetime in self.leaving
         if limit is None:
-            return KnownWord(leaves=leaves)
-        return KnownWord(limit.rate, now - limit.heard_at, leaves)
+            return KnownStatement(leaves=leaves)
+        return KnownStatement(limit.rate, now - limit.received_at, leaves)
 
 
 def read_decimal(text: bytes) -> float | None:
-    """Read a decimal number that is not negative; None: it is none."""
+    """Parse a non-negative decimal number; return None if it is not one."""
     found = _DECIMAL.fullmatch(text.strip())
     return None if found is None else float(found.group())
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/ports.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/ports.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_core.gateway.known.configuration import ServedConfiguration
-from spanfall_core.gateway.known.listed import ListedUpstream, UnusableEntry
+from spanfall_core.gateway.known.listed import ListedUpstream, UnusableRecord
 from spanfall_core.gateway.known.statements import Statement
 
 Headers = list[tuple[bytes, bytes]]
@@ -140,6 +140,6 @@
     #: Argument: content of the item. Raises InvalidRecordError.
     read_configuration: Callable[[bytes], ServedConfiguration]
     #: Arguments: key in the store, content of the item.
-    read_upstream: Callable[[str, bytes], ListedUpstream | UnusableEntry]
+    read_upstream: Callable[[str, bytes], ListedUpstream | UnusableRecord]
     #: Arguments: status and headers of an upstream's response.
     read_statement: Callable[[int, Headers], Statement]
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/configuration_sync.py
@@ -3,7 +3,7 @@
 import logging
 
 from spanfall_core.gateway.known.timelines import (
-    WRITTEN_AGAIN_SECONDS,
+    REWRITE_SECONDS,
     revision_of,
     timeline_of,
 )
@@ -44,23 +44,23 @@
             if state.configuration is None:
                 # The absence of a configuration is confirmed as well, so
                 # that the entries need not each read the store themselves.
-                state.freshness.prove(began_at)
+                state.freshness.mark_confirmed(began_at)
             return
         version = state.version
         if not self._apply(item.content):
             return
         self._record_operator_write(item, is_newer=state.version > version)
         if self._is_complete(began_at):
-            state.freshness.prove(began_at)
+            state.freshness.mark_confirmed(began_at)
 
-    def apply_reported(self, source: bytes, proved_at: float) -> None:
+    def apply_reported(self, source: bytes, confirmed_at: float) -> None:
         """Apply a configuration that was confirmed to be the newest.
 
         Raises:
             InvalidRecordError: the source is not a valid configuration.
         """
         if self._apply(source):
-            self._state.freshness.prove(proved_at)
+            self._state.freshness.mark_confirmed(confirmed_at)
 
     def _apply(self, source: bytes) -> bool:
         """Apply a configuration unless it is older; return False if it is.
@@ -116,4 +116,4 @@
         store = self._store
         if not store.was_restored or self._written_timeline == store.timeline:
             return True
-        return began_at - store.timeline_since >= WRITTEN_AGAIN_SECONDS
+        return began_at - store.timeline_since >= REWRITE_SECONDS
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 
 import anyio
-from spanfall_core.gateway.known.listed import ListedUpstream, UnusableEntry
+from spanfall_core.gateway.known.listed import ListedUpstream, UnusableRecord
 from spanfall_core.gateway.known.reporting import report_period
 
 from spanfall_node.gateway.links.succession_messages import HomeRecord
@@ -134,7 +134,7 @@
         self,
         revision: int,
         rows: list[ListedUpstream],
-        proved_at: float,
+        confirmed_at: float,
         outage_ended: float = NO_OUTAGE,
         unusable: Collection[str] = (),
     ) -> None:
@@ -145,7 +145,7 @@
         """
         now = self._state.timers.now()
         if revision >= self._state.directory.revision:
-            self._state.directory.prove(proved_at)
+            self._state.directory.mark_confirmed(confirmed_at)
         before = self._state.directory.rows.keys()
         changed = self._state.directory.apply(
             revision,
@@ -178,8 +178,10 @@
         state = self._state
         if state.tenure is not None:
             return True
-        proved_at = min(state.freshness.proved_at, state.directory.proved_at)
-        age = state.timers.now() - proved_at
+        confirmed_at = min(
+            state.freshness.confirmed_at, state.directory.confirmed_at
+        )
+        age = state.timers.now() - confirmed_at
         return age > max_confirmation_age(state.quotas.entries)
 
     async def _try_read_configuration(self) -> None:
@@ -223,7 +225,7 @@
         unusable: dict[str, int] = {}
         for item in items:
             entry = self._state.platform.read_upstream(item.key, item.content)
-            if isinstance(entry, UnusableEntry):
+            if isinstance(entry, UnusableRecord):
                 unusable[entry.upstream_id] = item.revision
                 self._report_unusable(entry, item.revision)
             else:
@@ -231,7 +233,7 @@
         self._unusable = unusable
         return rows, set(unusable)
 
-    def _report_unusable(self, entry: UnusableEntry, revision: int) -> None:
+    def _report_unusable(self, entry: UnusableRecord, revision: int) -> None:
         """Log and count an unusable entry once per change of it."""
         if self._unusable.get(entry.upstream_id) == revision:
             return
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -13,7 +13,7 @@
 import anyio
 from spanfall_core.gateway.crashes.crash_signs import settle
 from spanfall_core.gateway.crashes.crashes import (
-    SETTLED_SECONDS,
+    TRIAL_SETTLE_SECONDS,
     CrashTable,
     Standing,
     Trials,
@@ -60,7 +60,7 @@
     ) -> None:
         """Record that an upstream crashed under a request."""
         self.trials.end(identity, now)
-        if self.table.note_end(identity, lifetime, now):
+        if self.table.record_crash(identity, lifetime, now):
             self._report_quarantine(identity, lifetime)
 
     def record_suspected_crash(
@@ -74,9 +74,11 @@
         """Record that an upstream may have crashed under a request."""
         self.trials.end(identity, now)
         table = self.table
-        if table.note_doubt(identity, lifetime, now, is_strong=is_strong):
+        if table.record_suspected_crash(
+            identity, lifetime, now, is_strong=is_strong
+        ):
             self._report_quarantine(identity, lifetime)
-        if table.doubts:
+        if table.suspected_crashes:
             self.has_suspected_crashes.set()
 
     def resolve_suspected_crashes(
@@ -86,19 +88,21 @@
         now: float,
     ) -> None:
         """Resolve suspected crashes by the platform's list of upstreams."""
-        settled = settle(self.table.doubts, directory, heartbeat, now)
-        for lifetime in settled.living:
-            self.table.absolve(lifetime)
+        settled = settle(
+            self.table.suspected_crashes, directory, heartbeat, now
+        )
+        for lifetime in settled.alive:
+            self.table.record_alive(lifetime)
         for ended in settled.ended:
-            for identity in self.table.confirm(ended, now):
+            for identity in self.table.confirm_crash(ended, now):
                 self._report_quarantine(identity, ended)
-        if not self.table.doubts:
+        if not self.table.suspected_crashes:
             self.has_suspected_crashes = anyio.Event()
 
     def record_run(self, run: WatchedRun, now: float) -> None:
         """Record the progress of a watched run."""
         if run.stage is RunStage.BEGAN:
-            self.trials.end(run.identity, now + SETTLED_SECONDS)
+            self.trials.end(run.identity, now + TRIAL_SETTLE_SECONDS)
             return
         self.trials.end(run.identity, now)
         if run.stage is RunStage.WHOLE:
@@ -134,9 +138,12 @@
     def report(self, now: float) -> CrashReport:
         """Return the report of this node for a new home."""
         newest = dict(
-            islice(reversed(self.table.ends.items()), MAX_REPORTED_REQUESTS),
+            islice(
+                reversed(self.table.crashed_upstreams.items()),
+                MAX_REPORTED_REQUESTS,
+            ),
         )
-        doubts = self.table.doubts
+        doubts = self.table.suspected_crashes
         ends = {
             key: tuple(rows - doubts.keys()) for key, rows in newest.items()
         }
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -11,18 +11,18 @@
 )
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.engine_model import (
-    ReadingSpeed,
-    ReadingSums,
-    bounded_seconds,
-    reading_work,
+    PrefillSpeed,
+    PrefillSums,
+    clamp_wait,
+    prefill_work,
 )
 from spanfall_core.gateway.known.fleet import Counts, EntryReport, FleetState
 from spanfall_core.gateway.known.freshness import Freshness
-from spanfall_core.gateway.known.limits import Limit, LimitsInForce
+from spanfall_core.gateway.known.limits import EffectiveLimits, Limit
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.reporting import silent_after
 from spanfall_core.gateway.known.true_time import TrueTime
-from spanfall_core.gateway.known.unit_reports import GivenUnits
+from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.known.usage import UsageCounts
 from spanfall_core.gateway.limits.quotas import Quotas
 from spanfall_core.gateway.limits.shared_levels import SharedLevels
@@ -70,7 +70,7 @@
     granted_prompts: PromptHistory = field(default_factory=PromptHistory)
     fleet: FleetState = field(default_factory=FleetState)
     crashes: CrashState = field(default_factory=CrashState)
-    effective_limits: LimitsInForce = field(default_factory=LimitsInForce)
+    effective_limits: EffectiveLimits = field(default_factory=EffectiveLimits)
     shared_levels: SharedLevels = field(default_factory=SharedLevels)
     #: On the home: running requests of the whole fleet.
     grant_book: GrantBook = field(default_factory=GrantBook)
@@ -91,7 +91,7 @@
     #: Prefill work sent to upstreams, by service, in tokens.
     read_work: Counts = field(default_factory=dict)
     #: Measurements of the prefill speed by requests of this node.
-    reading: dict[str, ReadingSums] = field(default_factory=dict)
+    reading: dict[str, PrefillSums] = field(default_factory=dict)
     #: Number of upstreams that each service needs, as reported by the home.
     needs: dict[str, float] = field(default_factory=dict)
     #: Whether the home has resigned and another one must be found.
@@ -135,7 +135,7 @@
     def record_prefill_work(self, service: str, prefill: int) -> None:
         """Count the prefill work of a request that is sent."""
         known = self.read_work.get(service, 0)
-        self.read_work[service] = known + round(reading_work(prefill))
+        self.read_work[service] = known + round(prefill_work(prefill))
 
     def record_first_token(
         self,
@@ -144,13 +144,13 @@
         seconds: float,
     ) -> None:
         """Update the prefill speed by a prompt that did not have to queue."""
-        work = reading_work(prefill)
+        work = prefill_work(prefill)
         known = self.prompts.speed(service)
-        clamped = bounded_seconds(seconds, known.seconds(work))
-        sums = self.reading.setdefault(service, ReadingSums())
+        clamped = clamp_wait(seconds, known.seconds(work))
+        sums = self.reading.setdefault(service, PrefillSums())
         sums.add(work, clamped)
 
-    def set_prefill_speeds(self, speeds: dict[str, ReadingSpeed]) -> None:
+    def set_prefill_speeds(self, speeds: dict[str, PrefillSpeed]) -> None:
         """Apply the prefill speeds that the home has determined."""
         self.prompts.speeds = speeds
         self.granted_prompts.speeds = speeds
@@ -162,11 +162,11 @@
 
     def record_own_load(self, now: float) -> None:
         """Record the load of this node, as the home that also serves callers."""
-        self.grant_book.learn(self.entry_key, self.own_load(0), now)
+        self.grant_book.apply_report(self.entry_key, self.own_load(0), now)
 
     def apply_report(self, report: EntryReport, now: float) -> None:
         """Apply the report of an entry, as the home."""
-        self.fleet.learn(report, now)
+        self.fleet.apply_report(report, now)
         self.shared_levels.learn(
             report.key,
             report.spending,
@@ -180,7 +180,7 @@
         is_known = self.shared_levels.knows(self.entry_key)
         return self.report(to_new_home=not is_known)
 
-    def allocate_units(self, entry: str, now: float) -> GivenUnits | None:
+    def allocate_units(self, entry: str, now: float) -> AllocatedUnits | None:
         """Allocate units to an entry; return None if this is not the home.
 
         Only the holder of the lease allocates units, so no two homes allocate
@@ -205,7 +205,7 @@
 
     def apply_given(
         self,
-        given: GivenUnits | None,
+        given: AllocatedUnits | None,
         report: EntryReport,
         now: float,
     ) -> None:
@@ -250,7 +250,7 @@
         self.update_home(None)
         now = self.timers.now()
         self.quotas.go_alone(self.limits_at(now), now)
-        self.loads.forget_others()
+        self.loads.reset_others()
 
     def spending_to_record(self, now: float) -> dict[str, list[float]]:
         """Return the spending of workspaces with high usage, to be recorded."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -12,17 +12,19 @@
 from spanfall_core.gateway.known.backoffs import Backoffs
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.statements import (
-    News,
+    KnownStatements,
     Statement,
+    StatementChange,
     Statements,
-    Words,
 )
 from spanfall_core.gateway.limits.permits import Permits
 
 logger = logging.getLogger(__name__)
 
 #: Changes that are reported to the other nodes.
-REPORTED_CHANGES = frozenset((News.LIMIT, News.NO_LIMIT, News.LEAVES))
+REPORTED_CHANGES = frozenset(
+    (StatementChange.LIMIT, StatementChange.NO_LIMIT, StatementChange.LEAVES)
+)
 
 
 @dataclass(slots=True)
@@ -46,11 +48,11 @@
         now: float,
         *,
         is_signed: bool,
-    ) -> list[News]:
+    ) -> list[StatementChange]:
         """Record the statement in a response and return the changes."""
         if received.backoff:
-            self.backoffs.note(lifetime, received.backoff, now)
-        news = self.table.hear(
+            self.backoffs.record(lifetime, received.backoff, now)
+        news = self.table.record(
             lifetime,
             received,
             sent_at,
@@ -64,9 +66,9 @@
             self.has_unreported = anyio.Event()
         return news
 
-    def merge(self, words: Words, now: float) -> list[Lifetime]:
+    def merge(self, words: KnownStatements, now: float) -> list[Lifetime]:
         """Merge the statements of another node; return the changed upstreams."""
-        news = self.table.learn(words, now)
+        news = self.table.merge(words, now)
         for lifetime in news:
             logger.debug(
                 'Statement of upstream %s, reported by another node: %s',
@@ -76,11 +78,11 @@
             self._update_permit_rate(lifetime, now)
         return news
 
-    def take_unreported(self, now: float) -> Words:
+    def take_unreported(self, now: float) -> KnownStatements:
         """Return the unreported statements and mark them as reported."""
         unreported = self.unreported
         self.unreported = {}
-        return self.table.words(unreported, now)
+        return self.table.known_statements(unreported, now)
 
     def begin_tenure(self, now: float) -> None:
         """Reset the permits at the start of a tenure as home."""
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -13,15 +13,15 @@
 from itertools import count
 
 from spanfall_core.gateway.known.configuration import EngineLimits, Scaling
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import OfferedLoad, needed_upstreams
 from spanfall_core.gateway.orders.orders import (
     ServiceOrders,
-    count_present,
-    note_accepted,
-    note_refused,
+    count_serving,
+    record_accepted,
+    record_refused,
 )
 from spanfall_node.gateway.duties.capacity_duty import SETTLE_SECONDS
 
@@ -31,7 +31,7 @@
 #: An engine as fast as the fastest of the deployments: ``FULL_LOAD`` running
 #: requests and ``FULL_PREFILL_TOKENS`` prompt tokens per second occupy six.
 ENGINE = EngineLimits(slots=24, cache_tokens=700_000)
-SPEED = ReadingSpeed(0.03, 110_000)
+SPEED = PrefillSpeed(0.03, 110_000)
 FULL_LOAD = 60
 FULL_PREFILL_TOKENS = 170_000
 #: Number of engines needed to serve the full load without delay.
@@ -129,10 +129,10 @@
             for key, row in self.rows.items()
             if key not in self.serves_at and key not in self.departs_at
         ]
-        present = count_present(listed)
+        present = count_serving(listed)
         demand = self.orders.demand
-        demand.learn(needed, self.now)
-        demand.find(present.total(), self.now, self.now)
+        demand.record_need(needed, self.now)
+        demand.record_initial_count(present.total(), self.now, self.now)
         if self.now < self.settles_at:
             return
         planned = plan_orders('llm', SCALING, self.orders, present, self.now)
@@ -140,19 +140,19 @@
             self._execute(order)
 
     def _execute(self, order) -> None:
-        place, reclaimable = order.subject
+        place, reclaimable = order.key
         held = [
             key
             for key, row in self.rows.items()
-            if (row.data_centre, row.reclaimable) == order.subject
+            if (row.data_centre, row.reclaimable) == order.key
             and key not in self.departs_at
         ]
         missing = order.count - len(held)
         if missing > 0 and reclaimable and self.now < self.shortage_until:
-            note_refused(order, self.orders, self.now)
+            record_refused(order, self.orders, self.now)
             return
         self._record(order, missing)
-        note_accepted(order, self.orders, self.now)
+        record_accepted(order, self.orders, self.now)
         for _ in range(missing):
             key = self._add(place, reclaimable=reclaimable)
             self.serves_at[key] = self.now + SCALING.boot_seconds
@@ -163,11 +163,11 @@
         recent = [
             change
             for at, subject, change in self.sent
-            if subject == order.subject and self.now - at < SCALING.boot_seconds
+            if subject == order.key and self.now - at < SCALING.boot_seconds
         ]
         if any(change * missing < 0 for change in recent):
             self.reversals += 1
-        self.sent.append((self.now, order.subject, missing))
+        self.sent.append((self.now, order.key, missing))
 
     def _measure(self) -> None:
         busy = REQUIRED_ENGINES * self.pattern(self.now)
