--- a/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/store_client.py
@@ -162,7 +162,8 @@
         if reply.status == 404:
             raise LeaseLostError
         return combined_revision(
-            timeline, _read(self._dialect.read_revision, reply)
+            timeline,
+            _read(self._dialect.read_revision, reply),
         )
 
     async def grant(self, timeline: int, seconds: float) -> int:
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/sync.py
@@ -140,7 +140,7 @@
     ) -> None:
         """Apply a listing of upstreams unless it is older than the current one.
 
-        ``proved_at`` is the time at which its read began. ``unusable``
+        ``confirmed_at`` is the time at which its read began. ``unusable``
         contains the upstreams with unusable entries.
         """
         now = self._state.timers.now()
@@ -179,7 +179,8 @@
         if state.tenure is not None:
             return True
         confirmed_at = min(
-            state.freshness.confirmed_at, state.directory.confirmed_at
+            state.freshness.confirmed_at,
+            state.directory.confirmed_at,
         )
         age = state.timers.now() - confirmed_at
         return age > max_confirmation_age(state.quotas.entries)
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -75,7 +75,10 @@
         self.trials.end(identity, now)
         table = self.table
         if table.record_suspected_crash(
-            identity, lifetime, now, is_strong=is_strong
+            identity,
+            lifetime,
+            now,
+            is_strong=is_strong,
         ):
             self._report_quarantine(identity, lifetime)
         if table.suspected_crashes:
@@ -89,7 +92,10 @@
     ) -> None:
         """Resolve suspected crashes by the platform's list of upstreams."""
         settled = settle(
-            self.table.suspected_crashes, directory, heartbeat, now
+            self.table.suspected_crashes,
+            directory,
+            heartbeat,
+            now,
         )
         for lifetime in settled.alive:
             self.table.record_alive(lifetime)
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -23,7 +23,7 @@
 
 #: Changes that are reported to the other nodes.
 REPORTED_CHANGES = frozenset(
-    (StatementChange.LIMIT, StatementChange.NO_LIMIT, StatementChange.LEAVES)
+    (StatementChange.LIMIT, StatementChange.NO_LIMIT, StatementChange.LEAVES),
 )
 
 
