--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -19,9 +19,9 @@
     GrantBook,
 )
 from spanfall_node.gateway.links.messages import (
-    AskMessage,
     GrantMessage,
     GrantRequest,
+    GrantRequestMessage,
     ReportMessage,
     TableMessage,
     decode_from_entry,
@@ -121,7 +121,7 @@
     rows = make_rows(upstreams)
     request = GrantRequest('llm', Ask('a', 'north', PARTS, 6000))
     load = EntryLoad({'i-0': 1, 'i-1': 1}, {'i-0': 6000}, seen=0)
-    received = encode(AskMessage('edge-1/0123', 1, request, load))
+    received = encode(GrantRequestMessage('edge-1/0123', 1, request, load))
     book, prompts = GrantBook(), PromptHistory()
     loads = FleetLoads(book, Loads())
     began = time.process_time()
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -21,7 +21,7 @@
     note_refused,
 )
 
-from spanfall_node.gateway.duties.duties import Cloud
+from spanfall_node.gateway.duties.duties import CloudClient
 from spanfall_node.gateway.tables.state import GatewayState
 
 logger = logging.getLogger(__name__)
@@ -33,43 +33,43 @@
 #: The same for the first home of a fleet, which takes nothing over.
 FIRST_SETTLE_SECONDS = 0.5
 #: Seconds over which rates are averaged.
-RATE_SECONDS = 2.0
+RATE_AVERAGE_SECONDS = 2.0
 
 
 @dataclass(slots=True)
-class Rate:
+class RateEstimator:
     """Measure by how much a second a count of each service grows."""
 
-    counted: Counts = field(default_factory=dict)
+    totals: Counts = field(default_factory=dict)
     rates: dict[str, float] = field(default_factory=dict)
-    at: float = 0
+    updated_at: float = 0
 
-    def learn(self, counted: Counts, now: float) -> None:
+    def update(self, totals: Counts, now: float) -> None:
         """Take new sums; the rate follows them with a delay."""
-        passed = now - self.at
-        for service, total in counted.items():
-            known = self.counted.get(service, total)
-            part = min(1.0, passed / RATE_SECONDS)
-            rate = max(0, total - known) / max(passed, 0.01)
+        elapsed = now - self.updated_at
+        for service, total in totals.items():
+            previous = self.totals.get(service, total)
+            weight = min(1.0, elapsed / RATE_AVERAGE_SECONDS)
+            rate = max(0, total - previous) / max(elapsed, 0.01)
             old = self.rates.get(service, 0)
-            self.rates[service] = old + part * (rate - old)
-        self.counted = counted
-        self.at = now
+            self.rates[service] = old + weight * (rate - old)
+        self.totals = totals
+        self.updated_at = now
 
 
-class CapacityDuty:
+class CapacityPlanner:
     """Keep the orders of each service in line with its load."""
 
-    def __init__(self, state: GatewayState, cloud: Cloud) -> None:
+    def __init__(self, state: GatewayState, cloud: CloudClient) -> None:
         """Use the tables of the node and the cloud."""
         self._state = state
         self._cloud = cloud
         self._epoch = 0
         #: When the time as home began that the orders are of.
-        self._began_at: float | None = None
+        self._tenure_began_at: float | None = None
         self._orders: dict[str, ServiceOrders] = {}
-        self._reading = Rate()
-        self._asked = Rate()
+        self._prefill_rates = RateEstimator()
+        self._request_rates = RateEstimator()
 
     async def run(self) -> None:
         """Plan and order until cancelled."""
@@ -82,21 +82,21 @@
         state = self._state
         tenure = state.tenure
         self._epoch = tenure.epoch
-        if self._began_at != tenure.began_at:
-            self._began_at = tenure.began_at
+        if self._tenure_began_at != tenure.began_at:
+            self._tenure_began_at = tenure.began_at
             self._orders = {}
-            self._reading = Rate()
-            self._asked = Rate()
+            self._prefill_rates = RateEstimator()
+            self._request_rates = RateEstimator()
         if state.configuration is None:
             return
         now = state.timers.now()
-        self._reading.learn(state.fleet.read_work(), now)
-        self._asked.learn(dict(state.grant_book.asked), now)
+        self._prefill_rates.update(state.fleet.read_work(), now)
+        self._request_rates.update(dict(state.grant_book.asked), now)
         for service in state.configuration.services.values():
             if service.scaling is not None and service.engine is not None:
-                await self._serve_service(service, now)
+                await self._plan_service(service, now)
 
-    async def _serve_service(
+    async def _plan_service(
         self,
         service: ServedService,
         now: float,
@@ -108,7 +108,7 @@
             for row in state.directory.rows.values()
             if row.service == service.name
         ]
-        self._learn_demand(service, orders, now)
+        self._update_demand(service, orders, now)
         state.needs[service.name] = orders.demand.peak
         present = count_present(rows)
         grown_at = state.directory.grown_at(service.name)
@@ -131,14 +131,14 @@
 
     def _orders_of(self, service: str, now: float) -> ServiceOrders:
         """Return the orders of a service, at first as the last home left it."""
-        known = self._orders.get(service)
-        if known is None:
+        service_orders = self._orders.get(service)
+        if service_orders is None:
             demand = take_over(self._state.needs.get(service, 0), now)
-            known = ServiceOrders(demand)
-            self._orders[service] = known
-        return known
+            service_orders = ServiceOrders(demand)
+            self._orders[service] = service_orders
+        return service_orders
 
-    def _learn_demand(
+    def _update_demand(
         self,
         service: ServedService,
         orders: ServiceOrders,
@@ -146,20 +146,24 @@
     ) -> None:
         state = self._state
         running = state.fleet.running(now)
-        there = [
+        lifetimes = [
             row.lifetime
             for row in state.directory.rows.values()
             if row.service == service.name
         ]
-        mine = sum(running.get(lifetime, 0) for lifetime in there)
-        load = OfferedLoad(mine, self._reading.rates.get(service.name, 0))
+        running_requests = sum(
+            running.get(lifetime, 0) for lifetime in lifetimes
+        )
+        load = OfferedLoad(
+            running_requests, self._prefill_rates.rates.get(service.name, 0)
+        )
         speed = state.prompts.speed(service.name)
-        needed = needed_upstreams(service.engine, load, speed, len(there))
+        needed = needed_upstreams(service.engine, load, speed, len(lifetimes))
         limits = state.words.table.rates
         orders.lost = lost_to_limits(
-            (limits[lifetime] for lifetime in there if lifetime in limits),
+            (limits[lifetime] for lifetime in lifetimes if lifetime in limits),
             needed,
-            self._asked.rates.get(service.name, 0),
+            self._request_rates.rates.get(service.name, 0),
         )
         orders.demand.learn(needed, now)
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
@@ -19,15 +19,15 @@
 #: Key of the record of the usage windows that were sent.
 USAGE_KEY = 'spanfall/usage'
 #: Seconds between two looks at what is due.
-LOOK_PERIOD = 0.5
+CHECK_PERIOD = 0.5
 #: Seconds after the end of a window at which all entries have reported it.
 SETTLE_SECONDS = 2.0
 #: Seconds for one call to the cloud API.
-CLOUD_SECONDS = 1.5
+CLOUD_TIMEOUT_SECONDS = 1.5
 #: Windows that the record keeps, for a holder that must repeat one.
 RECORDED_WINDOWS = 3
 #: Windows before the one just sent whose counts are kept.
-COUNTED_WINDOWS = 8
+RETAINED_WINDOWS = 8
 
 
 class UsageRecord(msgspec.Struct):
@@ -38,7 +38,7 @@
     timeline: int = 0
 
 
-class Cloud:
+class CloudClient:
     """Call the cloud API, only while this node certainly is the home."""
 
     def __init__(self, state: GatewayState, pool: ConnectionPool) -> None:
@@ -70,7 +70,7 @@
                 self._pool,
                 state.cfg.cloud,
                 call,
-                CLOUD_SECONDS,
+                CLOUD_TIMEOUT_SECONDS,
             )
         except CallError as exc:
             state.counters.orders.labels(f'{name} failed').inc()
@@ -86,7 +86,7 @@
         return reply.status
 
 
-class UsageDuty:
+class UsageReporter:
     """Report the runs of each window once, with one content.
 
     The counts are recorded in the store before they are sent, so that a
@@ -97,7 +97,7 @@
         self,
         state: GatewayState,
         store: StoreClient,
-        cloud: Cloud,
+        cloud: CloudClient,
     ) -> None:
         """Use the tables of the node, the store and the cloud."""
         self._state = state
@@ -105,18 +105,18 @@
         self._cloud = cloud
         self._epoch = 0
         #: This node's last time as home in which it reported.
-        self._tenure: Tenure | None = None
+        self._reporting_tenure: Tenure | None = None
         self._revision = 0
         self._record = UsageRecord({})
         self._unsent: list[int] = []
         #: First window of a holder that does not know what was sent before:
         #: earlier ones may have been sent with other counts.
-        self._first: int | None = None
+        self._first_window: int | None = None
 
     async def run(self) -> None:
         """Report what is due until cancelled."""
         while True:
-            await anyio.sleep(LOOK_PERIOD)
+            await anyio.sleep(CHECK_PERIOD)
             if not self._cloud.may_act():
                 continue
             try:
@@ -129,8 +129,8 @@
         tenure = self._state.tenure
         if self._epoch != tenure.epoch:
             await self._take_over(tenure)
-        for late in list(self._unsent):
-            if not await self._send(late):
+        for unsent in list(self._unsent):
+            if not await self._send(unsent):
                 return
         due = self._due_window()
         window = self._next_window(due)
@@ -150,10 +150,10 @@
         if record is None or record.timeline != tenure.timeline:
             record, first = self._restored(record, tenure)
         self._record = record
-        self._first = first
+        self._first_window = first
         self._revision = 0 if item is None else item.revision
         self._unsent = sorted(record.windows)
-        self._tenure = tenure
+        self._reporting_tenure = tenure
         self._epoch = tenure.epoch
 
     def _restored(
@@ -168,20 +168,23 @@
         next_due = self._due_window() + 1
         if record is None:
             return UsageRecord({}), next_due
-        if self._knows_all():
+        if self._has_complete_record():
             return UsageRecord(record.windows | self._record.windows), None
-        none_reported = tenure.is_first and self._tenure is None
+        none_reported = tenure.is_first and self._reporting_tenure is None
         return record, None if none_reported else next_due
 
-    def _knows_all(self) -> bool:
+    def _has_complete_record(self) -> bool:
         """Tell whether no other node can have sent any since this one did.
 
         A new home waits before it acts, and the store was restored sooner.
         """
-        if self._tenure is None:
+        if self._reporting_tenure is None:
             return False
-        waits = self._state.cfg.bounds.duty_lease_seconds
-        return self._store.timeline_since < self._tenure.renewed_at + waits
+        wait_seconds = self._state.cfg.bounds.duty_lease_seconds
+        return (
+            self._store.timeline_since
+            < self._reporting_tenure.renewed_at + wait_seconds
+        )
 
     def _due_window(self) -> int:
         """Return the newest window whose counts are complete."""
@@ -191,7 +194,7 @@
 
     def _next_window(self, due: int) -> int:
         """Return the first window that was not recorded yet."""
-        first = self._first
+        first = self._first_window
         if self._record.windows:
             unrecorded = max(self._record.windows) + 1
             return unrecorded if first is None else max(unrecorded, first)
@@ -199,12 +202,12 @@
             return first
         state = self._state
         state.learn_report(state.own_report(), state.timers.now())
-        known = [
+        reported = [
             window
             for windows in state.fleet.usage.by_entry.values()
             for window in windows
         ]
-        return min(known, default=due + 1)
+        return min(reported, default=due + 1)
 
     async def _record_window(self, window: int) -> None:
         state = self._state
@@ -214,10 +217,10 @@
         kept = sorted(windows)[-RECORDED_WINDOWS:]
         record = UsageRecord(
             {key: windows[key] for key in kept},
-            self._tenure.timeline,
+            self._reporting_tenure.timeline,
         )
         self._revision = await self._store.write_as_home(
-            self._tenure,
+            self._reporting_tenure,
             Write(USAGE_KEY, msgspec.json.encode(record)),
             self._revision,
         )
@@ -235,7 +238,7 @@
         status = await self._cloud.call('usage', call)
         if status == 200:
             self._unsent.remove(window)
-            state.fleet.usage.forget_before(window - COUNTED_WINDOWS)
+            state.fleet.usage.forget_before(window - RETAINED_WINDOWS)
             return True
         if 400 <= status < 500 and status != 429:
             logger.error('The cloud refused the usage of window %s', window)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/claiming.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/claiming.py
@@ -3,12 +3,12 @@
 import logging
 from dataclasses import dataclass
 
-from spanfall_core.gateway.known.timelines import timeline_of
+from spanfall_core.gateway.known_revision.timelines import timeline_of
 
 from spanfall_node.gateway.home.home_content import (
     HomeContent,
-    name_home,
-    write_home,
+    encode_home,
+    make_home_record,
 )
 from spanfall_node.gateway.links.succession_messages import HomeRecord
 from spanfall_node.gateway.net.ports import Write
@@ -53,7 +53,7 @@
 async def claim_home(
     state: GatewayState,
     store: StoreClient,
-    known: int,
+    known_revision: int,
     lease_seconds: float,
 ) -> Claim | None:
     """Write this node's record over one of revision ``known``.
@@ -75,21 +75,24 @@
         state.incarnation,
         timeline,
     )
-    record = write_home(content)
+    record = encode_home(content)
     key = home_key(timeline)
     try:
         epoch = await store.transact(
             timeline,
-            {key: known, HISTORY_KEY: history.revision if history else 0},
+            {
+                key: known_revision,
+                HISTORY_KEY: history.revision if history else 0,
+            },
             (Write(key, record, lease), Write(HISTORY_KEY, record)),
-            _void_keys(last, timeline),
+            _superseded_keys(last, timeline),
         )
     except ConditionFailedError:
         logger.info('Another node became the home first')
         return None
-    is_restored = _is_before(last, timeline, store)
+    is_restored = _is_earlier_timeline(last, timeline, store)
     return Claim(
-        name_home(content, epoch),
+        make_home_record(content, epoch),
         lease,
         sent_at,
         is_first=history is None and not is_restored,
@@ -97,7 +100,9 @@
     )
 
 
-def _void_keys(last: HomeContent | None, timeline: int) -> tuple[str, ...]:
+def _superseded_keys(
+    last: HomeContent | None, timeline: int
+) -> tuple[str, ...]:
     """Return the keys of earlier timelines that are to hold no record.
 
     What a home wrote under such a condition may arrive late.
@@ -107,7 +112,7 @@
     return (home_key(last.timeline),)
 
 
-def _is_before(
+def _is_earlier_timeline(
     last: HomeContent | None,
     timeline: int,
     store: StoreClient,
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -16,8 +16,8 @@
 
 from spanfall_node.gateway.home.followed_table import FollowedTable
 from spanfall_node.gateway.home.home_pace import strength
-from spanfall_node.gateway.home.lost_home import LostHome
-from spanfall_node.gateway.home.telling_words import tell_words
+from spanfall_node.gateway.home.lost_home import HomeReconnect
+from spanfall_node.gateway.home.telling_words import send_statements
 from spanfall_node.gateway.home.totals import follow_own_table
 from spanfall_node.gateway.limits.unit_requests import UnitRequests
 from spanfall_node.gateway.links.crash_messages import QuarantineMessage
@@ -47,19 +47,19 @@
 logger = logging.getLogger(__name__)
 
 #: Seconds between two looks at which node is the home.
-LINK_PERIOD = 0.1
+HOME_CHECK_PERIOD = 0.1
 #: Seconds for an answer of the home, and for a new link to it.
-ANSWER_SECONDS = 0.8
+ANSWER_TIMEOUT_SECONDS = 0.8
 #: Seconds for which changes of what runs are gathered before they are told.
 LOAD_PERIOD = 0.05
 #: Part of the period of reports after which one may go out early, since units
 #: of a workspace run out.
-SOONEST_PART = 0.25
+MIN_PERIOD_FRACTION = 0.25
 #: Early reports a second that the home takes from all entries together.
-MOST_EARLY = 400
+MAX_EARLY_REPORTS_PER_SECOND = 400
 
 
-Part = Callable[[ClientConnection], Awaitable[None]]
+LinkTask = Callable[[ClientConnection], Awaitable[None]]
 
 
 class EntryLink:
@@ -79,13 +79,13 @@
         self._grants = grants
         self._units = units
         #: Parts that tell the home of single requests.
-        self._askers = (grants, units, watch)
+        self._requesters = (grants, units, watch)
         self._tables: list[TableMessage] = []
-        self._heard = anyio.Event()
+        self._table_received = anyio.Event()
         #: Set when a home that is cut off asks for the store.
-        self._asked = anyio.Event()
+        self._store_check_requested = anyio.Event()
         self._table = FollowedTable(state, sync)
-        self._lost = LostHome(state, sync)
+        self._reconnect = HomeReconnect(state, sync)
 
     async def run(self) -> None:
         """Keep a link to whichever node is the home, until cancelled."""
@@ -95,8 +95,8 @@
             elif self._state.tenure is not None:
                 follow_own_table(self._state)
             elif self._state.home is None:
-                self._lost.try_again()
-            with anyio.move_on_after(LINK_PERIOD):
+                self._reconnect.retry_last_home()
+            with anyio.move_on_after(HOME_CHECK_PERIOD):
                 await self._state.home_changed.wait()
 
     def _should_link(self) -> bool:
@@ -108,16 +108,16 @@
     async def _follow_home(self) -> None:
         home = self._state.home
         try:
-            with anyio.fail_after(ANSWER_SECONDS):
+            with anyio.fail_after(ANSWER_TIMEOUT_SECONDS):
                 link = await self._connect(home.address)
         except (OSError, TimeoutError, WebSocketException) as exc:
-            self._lose(f'no link: {exc!r}')
+            self._mark_home_lost(f'no link: {exc!r}')
             return
         try:
-            await self._use(link)
+            await self._run_link(link)
         finally:
-            for asker in self._askers:
-                asker.disconnect()
+            for requester in self._requesters:
+                requester.disconnect()
             link.transport.abort()
 
     async def _connect(self, address: str) -> ClientConnection:
@@ -129,38 +129,40 @@
             user_agent_header=None,
         )
 
-    async def _use(self, link: ClientConnection) -> None:
+    async def _run_link(self, link: ClientConnection) -> None:
         """Use a link until it fails or there is another home."""
         self._state.loads.forget_others()
         self._table = FollowedTable(self._state, self._sync)
         self._tables = []
-        self._asked = anyio.Event()
+        self._store_check_requested = anyio.Event()
         async with anyio.create_task_group() as tasks:
 
-            async def run(part: Part) -> None:
-                await self._until_lost(part, link)
+            async def run(task: LinkTask) -> None:
+                await self._run_until_lost(task, link)
                 tasks.cancel_scope.cancel()
 
-            parts = (
+            link_tasks = (
                 self._receive,
-                self._report_often,
-                self._tell_load,
-                self._look_for_store,
-                partial(tell_words, self._state),
+                self._report_periodically,
+                self._send_load,
+                self._answer_store_questions,
+                partial(send_statements, self._state),
             )
-            for part in parts:
-                tasks.start_soon(run, part)
+            for task in link_tasks:
+                tasks.start_soon(run, task)
 
-    async def _until_lost(self, part: Part, link: ClientConnection) -> None:
+    async def _run_until_lost(
+        self, task: LinkTask, link: ClientConnection
+    ) -> None:
         try:
-            await part(link)
+            await task(link)
         except TimeoutError as exc:
-            self._lose(f'no answer: {exc!r}')
+            self._mark_home_lost(f'no answer: {exc!r}')
         except (OSError, WebSocketException) as exc:
-            self._lose(f'the link ended: {exc!r}')
+            self._mark_home_lost(f'the link ended: {exc!r}')
         except ValueError:
             logger.exception('The home sent no message; check its version')
-            self._lose('no message')
+            self._mark_home_lost('no message')
 
     async def _receive(self, link: ClientConnection) -> None:
         """Take what the home sends; the reports wait for their tables."""
@@ -172,14 +174,14 @@
                 logger.info('Could not ask the home: %r', exc)
 
         await ask(self._state.crashes.report(self._state.timers.now()))
-        for asker in self._askers:
-            asker.connect(ask)
-        self._lost.last = self._state.home
+        for requester in self._requesters:
+            requester.connect(ask)
+        self._reconnect.last_home = self._state.home
         epoch = self._state.home.epoch
         while self._is_home_still(epoch):
-            self._learn(decode_from_home(await link.recv()))
+            self._handle(decode_from_home(await link.recv()))
 
-    def _learn(self, message: FromHome) -> None:
+    def _handle(self, message: FromHome) -> None:
         now = self._state.timers.now()
         match message:
             case GrantMessage():
@@ -188,9 +190,9 @@
                 self._units.learn(message)
             case TableMessage():
                 self._tables.append(message)
-                self._heard.set()
+                self._table_received.set()
             case StoreQuestion():
-                self._asked.set()
+                self._store_check_requested.set()
             case ResignMessage():
                 self._state.note_vacant(message.epoch)
             case QuarantineMessage():
@@ -198,39 +200,42 @@
             case SuccessorMessage():
                 self._state.follow_home(message.home, now)
 
-    async def _look_for_store(self, link: ClientConnection) -> None:
+    async def _answer_store_questions(self, link: ClientConnection) -> None:
         """Tell a home that is cut off whether this node reaches the store."""
         epoch = self._state.home.epoch
         while True:
-            await self._asked.wait()
+            await self._store_check_requested.wait()
             if await self._sync.reaches_store():
                 await link.send(encode(StoreReached(epoch)))
-            self._asked = anyio.Event()
+            self._store_check_requested = anyio.Event()
 
-    async def _report_often(self, link: ClientConnection) -> None:
+    async def _report_periodically(self, link: ClientConnection) -> None:
         epoch = self._state.home.epoch
         is_first = True
         while self._is_home_still(epoch):
-            with anyio.fail_after(ANSWER_SECONDS):
+            with anyio.fail_after(ANSWER_TIMEOUT_SECONDS):
                 await self._report(link, to_new_home=is_first)
             is_first = False
-            await self._pause(epoch)
-        await self._take_leave(link, epoch)
+            await self._wait_for_next_report(epoch)
+        await self._send_farewell(link, epoch)
 
-    async def _take_leave(self, link: ClientConnection, epoch: int) -> None:
+    async def _send_farewell(self, link: ClientConnection, epoch: int) -> None:
         """Tell a home that another has followed it, if that is so."""
         home = self._state.home
         if home is not None and home.epoch > epoch:
             await link.send(encode(FarewellMessage(home)))
 
-    async def _pause(self, epoch: int) -> None:
+    async def _wait_for_next_report(self, epoch: int) -> None:
         """Wait for the next report; units that run out bring it forward."""
         quotas = self._state.quotas
         period = self._table.report_after
-        soonest = max(period * SOONEST_PART, quotas.entries / MOST_EARLY)
-        with anyio.move_on_after(soonest):
+        min_wait = max(
+            period * MIN_PERIOD_FRACTION,
+            quotas.entries / MAX_EARLY_REPORTS_PER_SECOND,
+        )
+        with anyio.move_on_after(min_wait):
             await self._state.home_changed.wait()
-        with anyio.move_on_after(period - soonest):
+        with anyio.move_on_after(period - min_wait):
             while self._is_home_still(epoch) and not quotas.is_low():
                 await self._state.load_changed.wait()
 
@@ -259,29 +264,29 @@
             strength=strength(state.cfg.host),
             words_version=self._table.words_version,
         )
-        self._heard = anyio.Event()
+        self._table_received = anyio.Event()
         await link.send(encode(message))
         while not self._tables:
-            await self._heard.wait()
+            await self._table_received.wait()
         table = self._tables.pop()
         self._table.apply(table, sent_at)
         now = state.timers.now()
         state.learn_given(table.given, report, now)
 
-    async def _tell_load(self, link: ClientConnection) -> None:
+    async def _send_load(self, link: ClientConnection) -> None:
         """Tell the home what runs here whenever it has changed."""
-        told = -1
+        sent_changes = -1
         while True:
-            if told == self._state.loads.changes:
+            if sent_changes == self._state.loads.changes:
                 await self._state.load_changed.wait()
             await anyio.sleep(LOAD_PERIOD)
-            if told != self._state.loads.changes:
-                told = self._state.loads.changes
+            if sent_changes != self._state.loads.changes:
+                sent_changes = self._state.loads.changes
                 entry = self._state.entry_key
                 message = LoadMessage(entry, self._grants.load())
                 await link.send(encode(message))
 
-    def _lose(self, reason: str) -> None:
+    def _mark_home_lost(self, reason: str) -> None:
         state = self._state
         logger.warning(
             'Lost the home %s: %s',
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
@@ -26,7 +26,7 @@
         """Use the tables of the node and its way to learn."""
         self._state = state
         self._sync = sync
-        self._totals_at = float('-inf')
+        self._totals_received_at = float('-inf')
         #: Seconds until the next report, as the home said.
         self.report_after = REPORT_PERIOD
         #: Version of the home's words of upstreams that is known.
@@ -60,12 +60,12 @@
             learn_words(state, table.words.words)
             self.words_version = table.words.version
         if table.totals is not None:
-            self._totals_at = now
+            self._totals_received_at = now
             apply_totals(state, table.totals, now)
 
     def wants_totals(self, now: float) -> bool:
         """Tell whether the sums over the other entries are old."""
-        return now - self._totals_at >= totals_period(
+        return now - self._totals_received_at >= totals_period(
             self._state.quotas.entries,
         )
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_content.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_content.py
@@ -15,7 +15,7 @@
     timeline: int = 0
 
 
-def name_home(content: HomeContent, epoch: int) -> HomeRecord:
+def make_home_record(content: HomeContent, epoch: int) -> HomeRecord:
     """Return the home that a record of an epoch names."""
     return HomeRecord(
         content.node,
@@ -25,6 +25,6 @@
     )
 
 
-def write_home(content: HomeContent) -> bytes:
+def encode_home(content: HomeContent) -> bytes:
     """Return the record of a home."""
     return msgspec.json.encode(content)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -9,7 +9,7 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known.reporting import unheard_after
+from spanfall_core.gateway.known_revision.reporting import unheard_after
 from spanfall_core.gateway.routing.grants import EntryLoad
 from websockets.asyncio.server import ServerConnection, serve
 from websockets.exceptions import WebSocketException
@@ -23,10 +23,10 @@
 )
 from spanfall_node.gateway.links.messages import (
     MESSAGE_BYTES,
-    AskMessage,
     ConfigurationPart,
     FromEntry,
     GrantMessage,
+    GrantRequestMessage,
     LoadMessage,
     ReportMessage,
     TableMessage,
@@ -36,13 +36,16 @@
     decode_from_entry,
     encode,
 )
-from spanfall_node.gateway.links.passing_on import PassingOn
+from spanfall_node.gateway.links.passing_on import ConfigurationSender
 from spanfall_node.gateway.links.succession_messages import (
     FarewellMessage,
     StoreReached,
     SuccessorMessage,
 )
-from spanfall_node.gateway.links.word_messages import WordsPart, WordsReport
+from spanfall_node.gateway.links.word_messages import (
+    StatementsPart,
+    StatementsReport,
+)
 from spanfall_node.gateway.net.sockets import BACKLOG
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.granting import decide
@@ -51,7 +54,7 @@
 logger = logging.getLogger(__name__)
 
 #: Age of what was never read, as a finite number of seconds.
-NEVER_SECONDS = 1e9
+MAX_AGE_SECONDS = 1e9
 
 
 class HomeLinks:
@@ -62,7 +65,9 @@
         self._state = state
         self._succession = Succession(state)
         self._quarantine = QuarantineLinks(state)
-        self._passing_on = PassingOn(state.cfg.host.link_megabits)
+        self._configuration_sender = ConfigurationSender(
+            state.cfg.host.link_megabits
+        )
 
     async def run(self) -> None:
         """Listen for entries until cancelled."""
@@ -92,11 +97,11 @@
         self._succession.add(link)
         self._quarantine.add(link)
         try:
-            async for received in link:
+            async for data in link:
                 if self._state.tenure is None:
-                    await self._refer(link)
+                    await self._redirect(link)
                     return
-                answer = self._answer(received, link)
+                answer = self._answer(data, link)
                 if answer is not None:
                     await link.send(answer)
         except (WebSocketException, OSError) as exc:
@@ -107,17 +112,17 @@
             self._succession.remove(link)
             self._quarantine.remove(link)
 
-    async def _refer(self, link: ServerConnection) -> None:
+    async def _redirect(self, link: ServerConnection) -> None:
         """Name the home to an entry that takes this node for it."""
         if self._state.home is not None:
             await link.send(encode(SuccessorMessage(self._state.home)))
 
     def _answer(
         self,
-        received: bytes,
+        data: bytes,
         link: ServerConnection | None = None,
     ) -> bytes | None:
-        message = decode_from_entry(received)
+        message = decode_from_entry(data)
         now = self._state.timers.now()
         match message:
             case FarewellMessage():
@@ -127,7 +132,7 @@
                 book.learn(message.entry, message.load, now)
             case WatchedRun():
                 self._state.crashes.note_run(message, now)
-            case WordsReport():
+            case StatementsReport():
                 learn_words(self._state, message.words)
             case _:
                 return self._reply(message, link, now)
@@ -144,16 +149,16 @@
             case StoreReached():
                 resigned = self._succession.hand_over(message.epoch)
                 return None if resigned is None else encode(resigned)
-            case AskMessage():
+            case GrantRequestMessage():
                 return encode(self._grant(message, now))
             case UnitsRequest():
                 return encode(self._units(message, now))
             case CrashReport():
-                return self._learn_crashes(message, now)
-        self._succession.note(link, message.strength)
+                return self._apply_crash_report(message, now)
+        self._succession.set_strength(link, message.strength)
         return encode(self._table(message, now))
 
-    def _learn_crashes(
+    def _apply_crash_report(
         self,
         report: CrashReport,
         now: float,
@@ -164,7 +169,7 @@
             return None
         return encode(QuarantineMessage(crashes.quarantined(now)))
 
-    def _grant(self, message: AskMessage, now: float) -> GrantMessage:
+    def _grant(self, message: GrantRequestMessage, now: float) -> GrantMessage:
         state = self._state
         state.grant_book.learn(message.entry, message.load, now)
         return decide(state, message.entry, message.number, message.request)
@@ -197,10 +202,10 @@
             report_after=period,
             totals=totals,
             configuration_version=state.version,
-            proof_age=min(state.freshness.age(now), NEVER_SECONDS),
+            proof_age=min(state.freshness.age(now), MAX_AGE_SECONDS),
             upstreams_age=min(
                 now - state.directory.proved_at,
-                NEVER_SECONDS,
+                MAX_AGE_SECONDS,
             ),
             true_time=state.true_time.at(now),
             speeds=state.fleet.speeds(),
@@ -216,10 +221,10 @@
         self,
         message: ReportMessage,
         now: float,
-    ) -> WordsPart | None:
+    ) -> StatementsPart | None:
         table = self._state.words.table
         words = table.words_since(message.words_version, now)
-        return WordsPart(table.version, words) if words else None
+        return StatementsPart(table.version, words) if words else None
 
     def _configuration(
         self,
@@ -228,7 +233,7 @@
         version = self._state.version
         if message.configuration_version >= version:
             return None
-        return self._passing_on.part(
+        return self._configuration_sender.part(
             version,
             self._state.configuration_source,
             self._state.timers.now(),
@@ -238,15 +243,15 @@
         directory = self._state.directory
         if message.upstreams_digest == directory.digest:
             return None
-        known = message.upstreams_revision
-        if not 0 < known < directory.revision:
+        known_revision = message.upstreams_revision
+        if not 0 < known_revision < directory.revision:
             rows = tuple(directory.rows.values())
             return UpstreamsPart(
                 directory.revision,
                 rows,
                 digest=directory.digest,
             )
-        change = directory.changes_since(known)
+        change = directory.changes_since(known_revision)
         return UpstreamsPart(
             directory.revision,
             change.rows,
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -9,19 +9,25 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known.reporting import report_period, unheard_after
+from spanfall_core.gateway.known_revision.reporting import (
+    report_period,
+    unheard_after,
+)
 
 from spanfall_node.gateway.home.claiming import Claim, claim_home
-from spanfall_node.gateway.home.home_content import HomeContent, name_home
+from spanfall_node.gateway.home.home_content import (
+    HomeContent,
+    make_home_record,
+)
 from spanfall_node.gateway.home.home_pace import (
-    LOOK_PERIOD,
-    MOST_OUTAGE_LOOKS,
-    OUTAGE_LOOK_PERIOD,
-    SMALL_HOST_SECONDS,
+    LOOKUP_PERIOD,
+    MAX_OUTAGE_LOOKUPS_PER_SECOND,
+    OUTAGE_LOOKUP_PERIOD,
+    SMALL_HOST_DELAY_SECONDS,
     is_small,
-    look_period,
+    lookup_period,
 )
-from spanfall_node.gateway.home.new_tenure import begin_tenure, go_on
+from spanfall_node.gateway.home.new_tenure import begin_tenure, continue_tenure
 from spanfall_node.gateway.net.ports import StoredItem
 from spanfall_node.gateway.store.home_records import HomeRecords
 from spanfall_node.gateway.store.store_client import (
@@ -45,10 +51,10 @@
 #: Seconds between two renewals.
 RENEW_PERIOD = 0.5
 #: Seconds for one: a home that is cut off hands over while its lease lasts.
-RENEW_SECONDS = 0.3
+RENEW_TIMEOUT_SECONDS = 0.3
 #: Seconds since the last renewal after which failures mean that the home is
 #: cut off; a single answer that is lost does not.
-CUT_SECONDS = 0.85
+CUT_OFF_SECONDS = 0.85
 #: Seconds until the next after one that failed.
 RETRY_PERIOD = 0.1
 
@@ -75,11 +81,11 @@
             try:
                 await self._step()
             except LeaseLostError:
-                self._lay_down('the lease has ended')
+                self._step_down('the lease has ended')
                 self._state.look_now.set()
             except StoreError as exc:
                 logger.info('Could not look up the home: %r', exc)
-            await self._wait(self._pause())
+            await self._wait(self._check_interval())
 
     async def _wait(self, seconds: float) -> None:
         """Wait for some seconds, or until there is a reason to look."""
@@ -97,7 +103,7 @@
         tenure = self._state.tenure
         if tenure is None:
             return
-        self._lay_down('this node stops')
+        self._step_down('this node stops')
         try:
             await self._store.revoke(tenure.timeline, tenure.lease)
         except StoreError as exc:
@@ -107,24 +113,26 @@
     def _lease_seconds(self) -> float:
         return max(LEASE_SECONDS, self._state.cfg.least_lease_seconds)
 
-    def _pause(self) -> float:
+    def _check_interval(self) -> float:
         tenure = self._state.tenure
         if tenure is not None and not tenure.resigned:
             return RETRY_PERIOD if self._store.health.failing else RENEW_PERIOD
         entries = self._state.quotas.entries
         if self._store.health.failing:
-            return look_period(OUTAGE_LOOK_PERIOD, entries, MOST_OUTAGE_LOOKS)
-        return look_period(LOOK_PERIOD, entries)
+            return lookup_period(
+                OUTAGE_LOOKUP_PERIOD, entries, MAX_OUTAGE_LOOKUPS_PER_SECOND
+            )
+        return lookup_period(LOOKUP_PERIOD, entries)
 
     async def _step(self) -> None:
         state = self._state
         tenure = state.tenure
         if tenure is not None and not tenure.resigned:
             await self._renew(tenure)
-        elif state.home is None or self._is_doubtful():
-            await self._look()
+        elif state.home is None or self._is_home_suspect():
+            await self._look_up_home()
 
-    def _is_doubtful(self) -> bool:
+    def _is_home_suspect(self) -> bool:
         """Tell whether the home is silent or cannot reach the store."""
         state = self._state
         if state.home_resigned or state.tenure is not None:
@@ -143,15 +151,15 @@
             await self._store.renew(
                 tenure.timeline,
                 tenure.lease,
-                RENEW_SECONDS,
+                RENEW_TIMEOUT_SECONDS,
             )
         except StoreRestoredError:
             if tenure.timeline < self._store.timeline:
-                await self._hold_next_record(tenure)
+                await self._claim_on_new_timeline(tenure)
             return
         except StoreError:
             now = self._state.timers.now()
-            tenure.is_cut = now - tenure.renewed_at > CUT_SECONDS
+            tenure.is_cut = now - tenure.renewed_at > CUT_OFF_SECONDS
             raise
         if tenure.resigned:
             # Handed over meanwhile: what was renewed is not held any more.
@@ -160,7 +168,7 @@
         tenure.renewed_at = sent_at
         tenure.valid_until = self._valid_until(sent_at)
 
-    async def _hold_next_record(self, tenure: Tenure) -> None:
+    async def _claim_on_new_timeline(self, tenure: Tenure) -> None:
         """Hold the record of the store's next timeline as well.
 
         While its lease of the one before lasts no other node was the home
@@ -176,9 +184,9 @@
             # Handed over meanwhile: another may be the home by now.
             await self._store.revoke(claim.timeline, claim.lease)
             return
-        go_on(self._state, claim, self._valid_until(claim.sent_at))
+        continue_tenure(self._state, claim, self._valid_until(claim.sent_at))
 
-    async def _look(self) -> None:
+    async def _look_up_home(self) -> None:
         timeline = self._store.timeline
         item = await self._store.get(home_key(timeline))
         if self._store.timeline != timeline:
@@ -186,62 +194,68 @@
             self._state.look_now.set()
             return
         if item is None:
-            await self._take_free_record()
+            await self._claim_free_record()
             return
-        await self._use_record(item)
+        await self._handle_record(item)
 
-    async def _take_free_record(self) -> None:
+    async def _claim_free_record(self) -> None:
         state = self._state
         if state.draining_since is not None:
             return
-        is_told = state.vacant_epoch and state.vacant_epoch == self._epoch()
-        if is_told or self._is_its_turn():
-            await self._try_to_hold(0)
+        is_reported_vacant = (
+            state.vacant_epoch and state.vacant_epoch == self._epoch()
+        )
+        if is_reported_vacant or self._may_claim():
+            await self._try_to_become_home(0)
 
     def _epoch(self) -> int:
         """Return the epoch of the home that is known, or 0."""
         return self._state.home.epoch if self._state.home else 0
 
-    async def _use_record(self, item: StoredItem) -> None:
+    async def _handle_record(self, item: StoredItem) -> None:
         state = self._state
         content = decode_record(item, HomeContent)
         if content is None:
-            if self._has_waited(self._lease_seconds):
-                await self._seize(item)
+            if self._has_been_free_for(self._lease_seconds):
+                await self._replace_unreadable_record(item)
             return
         self._free_since = None
         is_vacant = item.revision == state.vacant_epoch
-        is_free = is_vacant or self._was_this_node(content)
+        is_free = is_vacant or self._is_from_earlier_run(content)
         if is_free and state.draining_since is None:
-            await self._try_to_hold(item.revision)
+            await self._try_to_become_home(item.revision)
         else:
             self._follow(item.revision, content)
 
-    async def _seize(self, item: StoredItem) -> None:
+    async def _replace_unreadable_record(self, item: StoredItem) -> None:
         """Take over from a home whose record nobody can read.
 
         It may live on until its lease would have ended. Until then this node
         gives no units: two would give the same ones.
         """
-        known = item.revision
+        known_revision = item.revision
         if item.lease:
             await self._store.revoke(self._store.timeline, item.lease)
-            known = 0
-        await self._try_to_hold(known, self._lease_seconds - LEASE_MARGIN)
+            known_revision = 0
+        await self._try_to_become_home(
+            known_revision, self._lease_seconds - LEASE_MARGIN
+        )
 
-    def _is_its_turn(self) -> bool:
+    def _may_claim(self) -> bool:
         """Tell whether larger hosts have had time to become the home."""
-        seconds = SMALL_HOST_SECONDS if is_small(self._state.cfg.host) else 0
-        return self._has_waited(seconds)
+        seconds = (
+            SMALL_HOST_DELAY_SECONDS if is_small(self._state.cfg.host) else 0
+        )
+        return self._has_been_free_for(seconds)
 
-    def _has_waited(self, seconds: float) -> bool:
+    def _has_been_free_for(self, seconds: float) -> bool:
         """Tell whether there has been no home for some seconds."""
         now = self._state.timers.now()
         if self._free_since is None:
             self._free_since = now
         return now - self._free_since >= seconds
 
-    def _was_this_node(self, content: HomeContent) -> bool:
+    def _is_from_earlier_run(self, content: HomeContent) -> bool:
         """Tell whether an earlier run of this node holds the record.
 
         That run is over, so its record may be replaced at once.
@@ -250,10 +264,12 @@
         return is_same and content.incarnation != self._state.incarnation
 
     def _follow(self, epoch: int, content: HomeContent) -> None:
-        home = name_home(content, epoch)
+        home = make_home_record(content, epoch)
         self._state.follow_home(home, self._state.timers.now())
 
-    async def _try_to_hold(self, known: int, gives_after: float = 0) -> None:
+    async def _try_to_become_home(
+        self, known_revision: int, allocation_delay: float = 0
+    ) -> None:
         """Write this node's record over one of revision ``known``.
 
         ``gives_after`` are the seconds after which it may give units.
@@ -262,12 +278,12 @@
         shared_levels = await self._records.spending.read()
         state.needs = await self._records.needs.read()
         await self._records.crashes.read()
-        claim = await self._claim(known)
+        claim = await self._claim(known_revision)
         if claim is None:
             state.look_now.set()
             return
         state.shared_levels = shared_levels
-        gives_at = state.timers.now() + gives_after
+        gives_at = state.timers.now() + allocation_delay
         if claim.is_first_since_restore:
             # The store has forgotten the lease of a home that may act on.
             forgotten_at = self._valid_until(self._store.timeline_since)
@@ -275,11 +291,11 @@
         valid_until = self._valid_until(claim.sent_at)
         begin_tenure(state, claim, valid_until, gives_at)
 
-    async def _claim(self, known: int) -> Claim | None:
+    async def _claim(self, known_revision: int) -> Claim | None:
         return await claim_home(
             self._state,
             self._store,
-            known,
+            known_revision,
             self._lease_seconds,
         )
 
@@ -287,7 +303,7 @@
         """Return until when a lease certainly lasts that was asked for."""
         return sent_at + self._lease_seconds - LEASE_MARGIN
 
-    def _lay_down(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         tenure = self._state.tenure
         if tenure is None or tenure.resigned:
             return
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
@@ -40,10 +40,12 @@
         is_first=claim.is_first,
     )
     state.home_resigned = False
-    _note_own_record(state, claim)
+    _record_own_home(state, claim)
 
 
-def go_on(state: GatewayState, claim: Claim, valid_until: float) -> None:
+def continue_tenure(
+    state: GatewayState, claim: Claim, valid_until: float
+) -> None:
     """Go on as the home, without a break, under a record just written."""
     state.tenure = replace(
         state.tenure,
@@ -53,9 +55,9 @@
         renewed_at=claim.sent_at,
         is_cut=False,
     )
-    _note_own_record(state, claim)
+    _record_own_home(state, claim)
 
 
-def _note_own_record(state: GatewayState, claim: Claim) -> None:
+def _record_own_home(state: GatewayState, claim: Claim) -> None:
     state.note_home(claim.home)
     logger.info('This node is the home now, epoch %s', claim.epoch)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/succession.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/succession.py
@@ -26,13 +26,13 @@
 logger = logging.getLogger(__name__)
 
 #: Seconds between two looks at whether this node still is the home.
-LOOK_PERIOD = 0.05
+CHECK_PERIOD = 0.05
 #: Seconds between two rounds of questions while the store does not answer.
-ASK_PERIOD = 0.3
+ROUND_PERIOD = 0.3
 #: Entries that are asked or told in a round, those first whose hosts bear the
 #: home best: a few, so that they do not all call the store, and enough that
 #: one of them reaches it.
-ASKED = 5
+ROUND_SIZE = 5
 
 
 class Succession:
@@ -45,17 +45,19 @@
         self._links: dict[ServerConnection, float] = {}
         self._has_links = anyio.Event()
         #: Entries that were asked or told in this matter, and when last.
-        self._asked: set[ServerConnection] = set()
-        self._asked_at = float('-inf')
+        self._contacted: set[ServerConnection] = set()
+        self._contacted_at = float('-inf')
         #: The epoch that the entries know.
-        self._told_epoch = 0
+        self._announced_epoch = 0
 
     def add(self, link: ServerConnection) -> None:
         """Note an entry that listens."""
         self._links[link] = 0
         self._has_links.set()
 
-    def note(self, link: ServerConnection | None, strength: float) -> None:
+    def set_strength(
+        self, link: ServerConnection | None, strength: float
+    ) -> None:
         """Note how well the host of an entry that listens bears the home."""
         if link is not None and link in self._links:
             self._links[link] = strength
@@ -63,14 +65,14 @@
     def remove(self, link: ServerConnection) -> None:
         """Note that an entry's link has ended."""
         self._links.pop(link, None)
-        self._asked.discard(link)
+        self._contacted.discard(link)
 
     async def run(self) -> None:
         """Tell entries what they have to know, until cancelled."""
         while True:
             await self._has_links.wait()
-            await anyio.sleep(LOOK_PERIOD)
-            await self._tell(self._state.tenure)
+            await anyio.sleep(CHECK_PERIOD)
+            await self._notify(self._state.tenure)
             if not self._links:
                 self._has_links = anyio.Event()
 
@@ -86,48 +88,48 @@
         self._begin_round()
         return ResignMessage(epoch)
 
-    async def _tell(self, tenure: Tenure | None) -> None:
+    async def _notify(self, tenure: Tenure | None) -> None:
         if tenure is None:
-            await self._tell_successor()
+            await self._announce_successor()
         elif tenure.resigned:
-            await self._tell_some(ResignMessage(tenure.epoch))
+            await self._notify_next_round(ResignMessage(tenure.epoch))
         elif tenure.is_cut:
-            await self._tell_some(StoreQuestion(tenure.epoch))
+            await self._notify_next_round(StoreQuestion(tenure.epoch))
         else:
-            self._asked.clear()
-            await self._tell_epoch(tenure.epoch)
+            self._contacted.clear()
+            await self._announce_epoch(tenure.epoch)
 
-    async def _tell_epoch(self, epoch: int) -> None:
+    async def _announce_epoch(self, epoch: int) -> None:
         """Tell the entries that this node goes on under another epoch."""
-        told = self._told_epoch
-        self._told_epoch = epoch
-        if told and told != epoch:
+        announced = self._announced_epoch
+        self._announced_epoch = epoch
+        if announced and announced != epoch:
             await send_to_all(
                 list(self._links),
                 SuccessorMessage(self._state.home),
             )
 
-    async def _tell_successor(self) -> None:
+    async def _announce_successor(self) -> None:
         home = self._state.home
         if home is not None:
             links = list(self._links)
             self._links.clear()
             await send_to_all(links, SuccessorMessage(home))
 
-    async def _tell_some(self, message: msgspec.Struct) -> None:
+    async def _notify_next_round(self, message: msgspec.Struct) -> None:
         """Ask or tell the strongest entries that were not yet, in rounds."""
         now = self._state.timers.now()
-        if now - self._asked_at < ASK_PERIOD:
+        if now - self._contacted_at < ROUND_PERIOD:
             return
-        if self._asked.issuperset(self._links):
-            self._asked.clear()
-        others = self._links.keys() - self._asked
-        chosen = nlargest(ASKED, others, key=self._links.__getitem__)
-        self._asked.update(chosen)
-        self._asked_at = now
+        if self._contacted.issuperset(self._links):
+            self._contacted.clear()
+        others = self._links.keys() - self._contacted
+        chosen = nlargest(ROUND_SIZE, others, key=self._links.__getitem__)
+        self._contacted.update(chosen)
+        self._contacted_at = now
         await send_to_all(chosen, message)
 
     def _begin_round(self) -> None:
         """Let whoever was told first act before others are told too."""
-        self._asked_at = self._state.timers.now()
-        self._asked.clear()
+        self._contacted_at = self._state.timers.now()
+        self._contacted.clear()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
@@ -3,21 +3,21 @@
 from websockets.asyncio.client import ClientConnection
 
 from spanfall_node.gateway.links.messages import encode
-from spanfall_node.gateway.links.word_messages import WordsReport
+from spanfall_node.gateway.links.word_messages import StatementsReport
 from spanfall_node.gateway.tables.state import GatewayState
 
 
-async def tell_words(state: GatewayState, link: ClientConnection) -> None:
+async def send_statements(state: GatewayState, link: ClientConnection) -> None:
     """Tell a home all that is known here, then each new word at once."""
     words = state.words
     now = state.timers.now()
-    words.untold = {}
+    words.unsent = {}
     known = words.table.words_since(0, now)
     if known:
-        await link.send(encode(WordsReport(known)))
+        await link.send(encode(StatementsReport(known)))
     while True:
         heard = words.heard
-        if not words.untold:
+        if not words.unsent:
             await heard.wait()
-        untold = words.take_untold(state.timers.now())
-        await link.send(encode(WordsReport(untold)))
+        unsent = words.take_untold(state.timers.now())
+        await link.send(encode(StatementsReport(unsent)))
--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_node.gateway.links.messages import UnitsMessage, UnitsRequest
-from spanfall_node.gateway.links.questions import Questions, Send
+from spanfall_node.gateway.links.questions import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 
 #: Seconds for the home's answer: half of what a request waits at most to be
@@ -26,7 +26,7 @@
     """Ask over the link that the entry holds to the home."""
 
     state: GatewayState
-    _questions: Questions[float] = field(default_factory=Questions)
+    _questions: PendingRequests[float] = field(default_factory=PendingRequests)
 
     def connect(self, send: Send) -> None:
         """Ask over this link from now on."""
@@ -45,7 +45,7 @@
         state = self.state
         now = state.timers.now()
         state.quotas.learn_lent(message.workspace, message.units, now)
-        self._questions.learn(message.number, message.units)
+        self._questions.resolve(message.number, message.units)
 
     async def obtain(self, workspace: str, units: float) -> bool:
         """Ask for what a request lacks; tell whether the home gave it."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/crash_messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/crash_messages.py
@@ -34,9 +34,9 @@
     #: Its answer has begun.
     BEGAN = 'began'
     #: It ended, but its answer did not come whole and its upstream lives.
-    OVER = 'over'
+    INCOMPLETE = 'over'
     #: Its answer came whole.
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
 
 
 class WatchedRun(msgspec.Struct, frozen=True, tag='watched-run'):
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/link_sends.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/link_sends.py
@@ -13,7 +13,7 @@
 logger = logging.getLogger(__name__)
 
 #: Seconds for one link: an entry that does not read is passed over.
-SEND_SECONDS = 0.3
+SEND_TIMEOUT_SECONDS = 0.3
 
 
 async def send_to_all(
@@ -29,7 +29,7 @@
 
 async def _send_one(link: ServerConnection, encoded: bytes) -> None:
     try:
-        with anyio.fail_after(SEND_SECONDS):
+        with anyio.fail_after(SEND_TIMEOUT_SECONDS):
             await link.send(encoded)
     except (OSError, TimeoutError, WebSocketException) as exc:
         logger.info('Could not tell an entry: %r', exc)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -26,13 +26,16 @@
     StoreReached,
     SuccessorMessage,
 )
-from spanfall_node.gateway.links.word_messages import WordsPart, WordsReport
+from spanfall_node.gateway.links.word_messages import (
+    StatementsPart,
+    StatementsReport,
+)
 
 #: Most bytes of one message.
 MESSAGE_BYTES = 4_194_304
 #: Tables a second with sums over the entries, which are the largest part of
 #: a table: more would fill the link of a small host.
-MOST_TOTALS = 80
+MAX_TOTALS_PER_SECOND = 80
 
 
 class ReportMessage(
@@ -73,7 +76,7 @@
     ask: Ask
 
 
-class AskMessage(msgspec.Struct, frozen=True, tag='ask'):
+class GrantRequestMessage(msgspec.Struct, frozen=True, tag='ask'):
     """Ask which upstream is to serve a request."""
 
     entry: str
@@ -169,12 +172,12 @@
     resigned: bool = False
     configuration: ConfigurationPart | None = None
     upstreams: UpstreamsPart | None = None
-    words: WordsPart | None = None
+    words: StatementsPart | None = None
 
 
 def totals_period(entries: int) -> float:
     """Return the seconds after which an entry wants new sums."""
-    return entries / MOST_TOTALS
+    return entries / MAX_TOTALS_PER_SECOND
 
 
 def encode(message: msgspec.Struct) -> bytes:
@@ -183,7 +186,7 @@
 
 
 #: What bytes that no node has sent may raise.
-NOT_CBOR = (
+DECODE_ERRORS = (
     cbor2.CBORDecodeError,
     ArithmeticError,
     LookupError,
@@ -196,13 +199,13 @@
 FromEntry = (
     ReportMessage
     | LoadMessage
-    | AskMessage
+    | GrantRequestMessage
     | UnitsRequest
     | FarewellMessage
     | StoreReached
     | CrashReport
     | WatchedRun
-    | WordsReport
+    | StatementsReport
 )
 FromHome = (
     TableMessage
@@ -215,26 +218,26 @@
 )
 
 
-def decode_from_entry(received: bytes) -> FromEntry:
+def decode_from_entry(data: bytes) -> FromEntry:
     """Read a message of an entry.
 
     Raises:
         ValueError: the bytes are no such message.
     """
-    return msgspec.convert(_plain(received), FromEntry)
+    return msgspec.convert(_decode_cbor(data), FromEntry)
 
 
-def decode_from_home(received: bytes) -> FromHome:
+def decode_from_home(data: bytes) -> FromHome:
     """Read a message of the home.
 
     Raises:
         ValueError: the bytes are no such message.
     """
-    return msgspec.convert(_plain(received), FromHome)
+    return msgspec.convert(_decode_cbor(data), FromHome)
 
 
-def _plain(received: bytes) -> object:
+def _decode_cbor(data: bytes) -> object:
     try:
-        return cbor2.loads(received)
-    except NOT_CBOR as exc:
+        return cbor2.loads(data)
+    except DECODE_ERRORS as exc:
         raise ValueError(f'not CBOR: {exc!r}') from exc
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/passing_on.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/passing_on.py
@@ -12,20 +12,20 @@
 
 #: Level of compression: the fastest one makes a thirtieth of such a
 #: configuration in half a millisecond.
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 #: Most bytes of a configuration that a message may hold, once unpacked.
-MOST_BYTES = 16_777_216
+MAX_UNPACKED_BYTES = 16_777_216
 #: Part of the home's link that configurations may take.
-LINK_PART = 0.25
+LINK_FRACTION = 0.25
 #: Seconds of that part that may be taken in advance. An entry that gets
 #: nothing reads the store itself, or gets it with its next table.
-AHEAD_SECONDS = 0.3
-BITS = 8
-MEGA = 1_000_000
+BURST_SECONDS = 0.3
+BITS_PER_BYTE = 8
+BITS_PER_MEGABIT = 1_000_000
 
 
 @dataclass(slots=True)
-class PassingOn:
+class ConfigurationSender:
     """Hold the configuration as it is sent, and how busy the link is."""
 
     link_megabits: float
@@ -44,13 +44,18 @@
 
         ``source`` is the configuration as the store holds it.
         """
-        if now + AHEAD_SECONDS < self._sent_until:
+        if now + BURST_SECONDS < self._sent_until:
             return None
         if version != self._version:
-            self._packed = zlib.compress(source, LEVEL)
+            self._packed = zlib.compress(source, COMPRESSION_LEVEL)
             self._version = version
-        bytes_a_second = self.link_megabits * MEGA / BITS * LINK_PART
-        seconds = len(self._packed) / bytes_a_second
+        bytes_per_second = (
+            self.link_megabits
+            * BITS_PER_MEGABIT
+            / BITS_PER_BYTE
+            * LINK_FRACTION
+        )
+        seconds = len(self._packed) / bytes_per_second
         self._sent_until = max(now, self._sent_until) + seconds
         return ConfigurationPart(version, self._packed)
 
@@ -63,7 +68,7 @@
     """
     reader = zlib.decompressobj()
     try:
-        source = reader.decompress(part.packed, MOST_BYTES)
+        source = reader.decompress(part.packed, MAX_UNPACKED_BYTES)
     except zlib.error as exc:
         raise ValueError(f'not packed: {exc}') from exc
     if not reader.eof:
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/questions.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/questions.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Question(Generic[Answer]):
+class PendingRequest(Generic[Answer]):
     """Wait for the answer to one question."""
 
     answered: anyio.Event = field(default_factory=anyio.Event)
@@ -26,11 +26,11 @@
 
 
 @dataclass(slots=True)
-class Questions(Generic[Answer]):
+class PendingRequests(Generic[Answer]):
     """Hold the questions of one kind that wait, by their numbers."""
 
     _send: Send | None = None
-    _pending: dict[int, Question[Answer]] = field(default_factory=dict)
+    _pending: dict[int, PendingRequest[Answer]] = field(default_factory=dict)
     #: Number of the last question.
     _last: int = 0
 
@@ -40,7 +40,7 @@
         return self._send is not None
 
     @property
-    def settled(self) -> int:
+    def last_settled(self) -> int:
         """Return the number up to which no question waits."""
         return min(self._pending, default=self._last + 1) - 1
 
@@ -54,7 +54,7 @@
         for pending in self._pending.values():
             pending.answered.set()
 
-    def learn(self, number: int, answer: Answer | None) -> None:
+    def resolve(self, number: int, answer: Answer | None) -> None:
         """Take the home's answer; one that comes too late is not used."""
         pending = self._pending.get(number)
         if pending is not None:
@@ -63,15 +63,15 @@
 
     async def ask(
         self,
-        message_of: Callable[[int], msgspec.Struct],
+        make_message: Callable[[int], msgspec.Struct],
         seconds: float,
-    ) -> Question[Answer]:
+    ) -> PendingRequest[Answer]:
         """Send the message of the next number and wait for its answer."""
         number = self._last + 1
-        question: Question[Answer] = Question()
+        question: PendingRequest[Answer] = PendingRequest()
         if self._send is None:
             return question
-        message = message_of(number)
+        message = make_message(number)
         self._last = number
         self._pending[number] = question
         try:
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
@@ -4,13 +4,13 @@
 from spanfall_core.gateway.known.statements import Words
 
 
-class WordsReport(msgspec.Struct, frozen=True, tag='words'):
+class StatementsReport(msgspec.Struct, frozen=True, tag='words'):
     """Tell the home what an entry heard, all that it knows on a new link."""
 
     words: Words
 
 
-class WordsPart(msgspec.Struct, frozen=True):
+class StatementsPart(msgspec.Struct, frozen=True):
     """Tell an entry what has changed since the version that it knows."""
 
     #: Version of the home's table with these words.
--- a/packages/spanfall-node/src/spanfall_node/gateway/program.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/program.py
@@ -13,8 +13,8 @@
 from spanfall_api.gateway_settings import GatewaySettings
 
 from spanfall_node.gateway.callers.callers import Callers
-from spanfall_node.gateway.duties.capacity_duty import CapacityDuty
-from spanfall_node.gateway.duties.duties import Cloud, UsageDuty
+from spanfall_node.gateway.duties.capacity_duty import CapacityPlanner
+from spanfall_node.gateway.duties.duties import CloudClient, UsageReporter
 from spanfall_node.gateway.home.entry_link import EntryLink
 from spanfall_node.gateway.home.home_links import HomeLinks
 from spanfall_node.gateway.home.leadership import Leadership
@@ -110,7 +110,7 @@
         CrashRecord(state, store),
     )
     leadership = Leadership(state, store, records)
-    cloud = Cloud(state, pool)
+    cloud = CloudClient(state, pool)
     _start_listening(state, callers, tasks)
     parts = [
         HomeLinks(state).run,
@@ -125,9 +125,9 @@
         EntryLink(state, sync, grants, units, watch).run,
     ]
     if state.cfg.reports_usage:
-        parts.append(UsageDuty(state, store, cloud).run)
+        parts.append(UsageReporter(state, store, cloud).run)
     if state.cfg.orders_upstreams:
-        parts.append(CapacityDuty(state, cloud).run)
+        parts.append(CapacityPlanner(state, cloud).run)
     for part in parts:
         tasks.start_soon(_keep_running, part)
     return Gateway(state, callers, leadership)
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -101,7 +101,7 @@
             self.trials.end(run.identity, now + SETTLED_SECONDS)
             return
         self.trials.end(run.identity, now)
-        if run.stage is RunStage.WHOLE:
+        if run.stage is RunStage.COMPLETE:
             self.table.clear(run.identity)
 
     def learn_report(self, report: CrashReport, now: float) -> None:
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -82,7 +82,7 @@
         """
         sign = await self._look(upstream)
         if sign is Sign.LIVES:
-            await self.note_run(identity, RunStage.OVER)
+            await self.note_run(identity, RunStage.INCOMPLETE)
             return
         await self._note(identity, upstream, sign)
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -14,11 +14,11 @@
 from spanfall_core.gateway.routing.grants import ComeBack, EntryLoad
 
 from spanfall_node.gateway.links.messages import (
-    AskMessage,
     GrantMessage,
     GrantRequest,
+    GrantRequestMessage,
 )
-from spanfall_node.gateway.links.questions import Questions, Send
+from spanfall_node.gateway.links.questions import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.granting import (
     HOMELESS_SECONDS,
@@ -51,7 +51,9 @@
     """Ask the home over the link that the entry holds to it."""
 
     state: GatewayState
-    _questions: Questions[GrantMessage] = field(default_factory=Questions)
+    _questions: PendingRequests[GrantMessage] = field(
+        default_factory=PendingRequests
+    )
     _alone_until: float = 0
 
     def connect(self, send: Send) -> None:
@@ -64,11 +66,11 @@
 
     def learn(self, answer: GrantMessage) -> None:
         """Take the home's answer; one that comes too late is not used."""
-        self._questions.learn(answer.number, answer)
+        self._questions.resolve(answer.number, answer)
 
     def load(self) -> EntryLoad:
         """Return what runs here and up to which grant that is known."""
-        return self.state.own_load(self._questions.settled)
+        return self.state.own_load(self._questions.last_settled)
 
     async def choose(
         self,
@@ -103,7 +105,7 @@
         state = self.state
         request = GrantRequest(service, ask)
         question = await self._questions.ask(
-            lambda number: AskMessage(
+            lambda number: GrantRequestMessage(
                 state.entry_key,
                 number,
                 request,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -168,7 +168,7 @@
         await access.crashes.examine(identity, choice.upstream)
     elif is_watched:
         is_whole = isinstance(ended, Answered)
-        await note_run(RunStage.WHOLE if is_whole else RunStage.OVER)
+        await note_run(RunStage.COMPLETE if is_whole else RunStage.INCOMPLETE)
     return ended
 
 
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -8,9 +8,9 @@
 from spanfall_core.gateway.known.reporting import report_period
 from spanfall_node.gateway.home.home_links import HomeLinks
 from spanfall_node.gateway.home.home_pace import (
-    MOST_OUTAGE_LOOKS,
+    MAX_OUTAGE_LOOKUPS_PER_SECOND,
     is_small,
-    look_period,
+    lookup_period,
 )
 from spanfall_node.gateway.home.leadership import Leadership
 from spanfall_node.gateway.links.messages import (
@@ -71,14 +71,17 @@
     ]
     assert outage == [0.6, 0.6, 1.2, 2.0, 2.0]
     assert read_period(570, is_home=True, failing=True) == 0.6
-    looks = [look_period(0.3, count) for count in entries]
+    looks = [lookup_period(0.3, count) for count in entries]
     assert looks == [0.3, 0.3, 0.3, 0.3, 1.9]
-    outage = [look_period(0.8, count, MOST_OUTAGE_LOOKS) for count in entries]
+    outage = [
+        lookup_period(0.8, count, MAX_OUTAGE_LOOKUPS_PER_SECOND)
+        for count in entries
+    ]
     assert outage == [0.8, 0.8, 0.8, 1.0875, 2.5]
 
 
 @in_world
-async def test_a_store_that_is_away_gets_one_call(world):
+async def test_a_failing_store_is_probed_by_one_call(world):
     """Listings wait until one call has told that the store is back."""
     state = await world.add_gateway()
     world.store.failing = 503
@@ -101,13 +104,13 @@
 
 
 @in_world
-async def test_a_small_host_is_the_home_if_none_other(world):
+async def test_a_small_host_is_the_home_if_alone(world):
     state = await world.add_gateway(host=Host(link_megabits=5))
     await wait_until(lambda: state.is_home(state.timers.now()))
 
 
 @in_world
-async def test_a_large_host_goes_before_a_small_one(world):
+async def test_a_large_host_is_preferred_as_home(world):
     small = await world.add_unready_gateway(host=Host(link_megabits=5))
     large = await world.add_gateway()
     await wait_until(lambda: home_of(small, large) is not None)
@@ -122,7 +125,7 @@
 
 
 @in_world
-async def test_an_entry_hears_of_a_change(world):
+async def test_an_entry_receives_a_configuration_change(world):
     """The home reads the store for all, and vouches for what it read."""
     _, other = await two_gateways(world)
     version = world.configure(body_bytes=10)
@@ -131,7 +134,7 @@
 
 
 @in_world
-async def test_an_entry_reads_what_the_home_cannot(world):
+async def test_an_entry_reads_a_listing_that_the_home_cannot(world):
     """The home's configuration is new, its list of upstreams is not."""
     home, other = await two_gateways(world)
     upstream = await world.add_upstream(whole())
@@ -154,7 +157,7 @@
     home.draining_since = home.timers.now()
     # A claim that lost leaves a lease of its own, which nobody holds.
     lease = home.tenure.lease
-    await Leadership(home, _StoreOf(world), None).resign()
+    await Leadership(home, _LeaseRevoker(world), None).resign()
     assert not home.is_home(home.timers.now())
     assert lease not in world.store.leases
     await wait_until(lambda: other.is_home(other.timers.now()))
@@ -164,7 +167,7 @@
 
 
 @in_world
-async def test_a_home_hears_that_another_has_followed(world):
+async def test_a_farewell_names_the_newer_home(world):
     """Cut off from the store it could not read the new record.
 
     Its counts of usage and its callers were lost until the store was back.
@@ -186,7 +189,7 @@
     assert home.tenure is None
 
 
-class _StoreOf:
+class _LeaseRevoker:
     """End leases of the stand-in store directly."""
 
     def __init__(self, world):
@@ -197,7 +200,7 @@
 
 
 @in_world
-async def test_a_record_that_is_gone_ends_a_tenure(world):
+async def test_a_lost_lease_ends_a_tenure(world):
     """A home whose lease ended acts no more, and one is found again."""
     home, other = await two_gateways(world)
     ended = home.tenure
@@ -228,7 +231,7 @@
 
 
 @in_world
-async def test_a_lost_answer_to_the_claim_is_settled(world):
+async def test_a_lost_answer_to_the_claim_is_resolved(world):
     """The record may be ours though no answer came; only its lease tells."""
     world.store.loses_answers = True
     state = await world.add_unready_gateway()
@@ -262,7 +265,7 @@
 
 
 @in_world
-async def test_entries_hear_that_none_is_configured(world):
+async def test_entries_are_current_without_a_configuration(world):
     """Until the operator has written one, only the home asks for it."""
     world.store.remove(CONFIGURATION_KEY)
     home = await world.add_unready_gateway()
@@ -277,7 +280,7 @@
 
 
 @in_world
-async def test_a_home_that_starts_waits_for_nobody(world):
+async def test_a_starting_home_reads_the_configuration_at_once(world):
     """After a restart of all, every other node waits for its table."""
     state = await world.add_unready_gateway()
     await wait_until(lambda: state.tenure is not None)
--- a/tests/test_gateway_home_restore.py
+++ b/tests/test_gateway_home_restore.py
@@ -6,8 +6,8 @@
 import pytest
 from gateway_world import SERVICE, in_world
 from spanfall_core.gateway.crashes.crashes import QUARANTINE_SECONDS
-from spanfall_node.gateway.duties.capacity_duty import CapacityDuty
-from spanfall_node.gateway.duties.duties import Cloud
+from spanfall_node.gateway.duties.capacity_duty import CapacityPlanner
+from spanfall_node.gateway.duties.duties import CloudClient
 from spanfall_node.gateway.home import leadership
 from spanfall_node.gateway.net.ports import Write
 from spanfall_node.gateway.store.crash_record import CRASHES_KEY
@@ -27,11 +27,11 @@
 from test_gateway_unit_requests import recorded
 
 #: Seconds from asking for a lease for which its holder acts.
-ACTS = 2.0
+LEASE_VALID_SECONDS = 2.0
 #: Seconds within which the home has written its records again.
-RECORDED = 10.0
+REWRITE_TIMEOUT_SECONDS = 10.0
 #: Seconds in which no test ends.
-LONG = 1e9
+VERY_LONG_SECONDS = 1e9
 
 
 def follows(entry, home):
@@ -43,7 +43,7 @@
 # Guards against entries that take the next home for an earlier one, and
 # against a fencing token that goes back.
 @in_world
-async def test_the_home_goes_on_after_a_restore(world):
+async def test_the_home_stays_home_after_a_restore(world):
     copy = world.store.copy()
     home, other = await two_gateways(world)
     before = home.tenure
@@ -59,7 +59,7 @@
 
 # Guards against a lease that another holds by the same number.
 @in_world
-async def test_a_lease_from_before_a_restore(world):
+async def test_a_lease_from_before_a_restore_is_replaced(world):
     home, other = await two_gateways(world)
     before = home.tenure
     world.store.restore(world.store.copy())
@@ -73,7 +73,7 @@
 
 # Guards against a home that goes on where another holds the next record.
 @in_world
-async def test_another_is_the_home_after_a_restore(world):
+async def test_a_home_steps_down_for_another_after_a_restore(world):
     home, other = await two_gateways(world)
     world.store.restore(world.store.copy())
     record = (
@@ -83,7 +83,7 @@
     world.store.leases[7] = (1000, world.store.clock())
     world.store.put(home_key(1), record, 7)
     await wait_until(lambda: not is_home(home))
-    await anyio.sleep(ACTS)
+    await anyio.sleep(LEASE_VALID_SECONDS)
     assert not is_home(home)
     assert world.store.items[home_key(1)].content == record
 
@@ -91,7 +91,7 @@
 # Guards against two homes that give the same units: the store has forgotten
 # the lease of the first, which may act until that has ended.
 @in_world
-async def test_a_new_home_gives_late_after_a_restore(world):
+async def test_a_new_home_delays_allocation_after_a_restore(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     async with ending_gateway(world) as (first, life):
         await wait_until(lambda: is_home(first))
@@ -106,14 +106,14 @@
     restored_at = other.timers.now()
     await wait_until(lambda: is_home(other))
     assert other.tenure.epoch > epoch
-    assert other.tenure.gives_at >= restored_at + ACTS - 0.1
+    assert other.tenure.gives_at >= restored_at + LEASE_VALID_SECONDS - 0.1
     await wait_until(lambda: other.tenure.may_give(other.timers.now()))
     assert home_of(other) is other
 
 
 # Guards against conditions on a revision that is given out again.
 @in_world
-async def test_conditions_from_before_a_restore(world):
+async def test_conditions_from_before_a_restore_fail(world):
     async with store_client(world) as store:
         world.store.revision = 8
         revision = world.store.put('a', 'one')
@@ -135,7 +135,7 @@
 # Guards against records that the home takes for written, though a restore
 # has lost them.
 @in_world
-async def test_records_lost_in_a_restore(world):
+async def test_records_lost_in_a_restore_are_written_again(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     copy = world.store.copy()
@@ -146,14 +146,14 @@
     await wait_until(lambda: written <= world.store.items.keys())
     world.store.restore(copy)
     assert not written & world.store.items.keys()
-    with anyio.fail_after(RECORDED):
+    with anyio.fail_after(REWRITE_TIMEOUT_SECONDS):
         await wait_until(lambda: written <= world.store.items.keys())
 
 
 # Guards against an old record of spending that stays, since the home knows
 # that it has written a later one.
 @in_world
-async def test_a_record_that_a_restore_brings_back(world):
+async def test_a_restored_old_spending_record_is_replaced(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
@@ -161,16 +161,16 @@
     copy = world.store.copy()
     world.store.put(SPENDING_KEY, '{"spent": {}}')
     world.store.restore(copy)
-    with anyio.fail_after(RECORDED):
+    with anyio.fail_after(REWRITE_TIMEOUT_SECONDS):
         await wait_until(lambda: not recorded(world))
 
 
 # Guards against orders of upstreams made anew, as if another home followed.
 @in_world
-async def test_orders_outlive_a_restore(world):
+async def test_orders_are_kept_across_a_restore(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
-    duty = CapacityDuty(home, Cloud(home, None))
+    duty = CapacityPlanner(home, CloudClient(home, None))
     await duty._step()
     orders = duty._orders_of(SERVICE, home.timers.now())
     before = home.tenure.epoch
@@ -182,15 +182,17 @@
 
 # Guards against another home after each restore, which knows less.
 @in_world
-async def test_a_home_whose_lease_is_lost(world):
+async def test_a_home_that_lost_its_lease_claims_again_after_a_restore(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     world.store.failing = 503
     await wait_until(lambda: not is_home(home))
     world.store.restore(world.store.copy())
-    with patch.object(leadership, 'look_period', return_value=LONG):
+    with patch.object(
+        leadership, 'lookup_period', return_value=VERY_LONG_SECONDS
+    ):
         world.store.failing = 0
-        with anyio.fail_after(RECORDED):
+        with anyio.fail_after(REWRITE_TIMEOUT_SECONDS):
             await wait_until(lambda: is_home(home))
 
 
@@ -210,5 +212,5 @@
     with patch.object(leadership, 'claim_home', hand_over_and_claim):
         world.store.restore(world.store.copy())
         await wait_until(lambda: bool(claims))
-    with anyio.fail_after(ACTS):
+    with anyio.fail_after(LEASE_VALID_SECONDS):
         await wait_until(lambda: is_home(home) or is_home(other))
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -21,9 +21,9 @@
     WatchedRun,
 )
 from spanfall_node.gateway.links.messages import (
-    AskMessage,
     GrantMessage,
     GrantRequest,
+    GrantRequestMessage,
     LoadMessage,
     ReportMessage,
     TableMessage,
@@ -34,7 +34,10 @@
     decode_from_home,
     encode,
 )
-from spanfall_node.gateway.links.word_messages import WordsPart, WordsReport
+from spanfall_node.gateway.links.word_messages import (
+    StatementsPart,
+    StatementsReport,
+)
 
 LIFETIME = name_lifetime('u-1', 1000)
 IDENTITY = request_identity('w', 'h', 'POST', '/', b'x')
@@ -53,12 +56,12 @@
 FROM_ENTRY = [
     ReportMessage(EntryReport('n', 'i', {LIFETIME: 2}), 3, 4, 5, seen=6),
     LoadMessage('n/i', LOAD),
-    AskMessage('n/i', 3, GrantRequest('llm', ASK), LOAD),
+    GrantRequestMessage('n/i', 3, GrantRequest('llm', ASK), LOAD),
     UnitsRequest('n/i', 3, 'w', 500.0),
     CrashReport({IDENTITY: (LIFETIME,)}, {IDENTITY: 9.5}, is_first=True),
     CrashReport(doubts={IDENTITY: {LIFETIME: True}}),
-    WatchedRun(IDENTITY, RunStage.WHOLE),
-    WordsReport(WORDS),
+    WatchedRun(IDENTITY, RunStage.COMPLETE),
+    StatementsReport(WORDS),
 ]
 FROM_HOME = [
     GrantMessage(3, Grant(3, LIFETIME, 100, 50)),
@@ -77,10 +80,10 @@
         totals=FleetTotals({LIFETIME: 2}),
         given=GivenUnits({'w': 2.5}),
         upstreams=UpstreamsPart(6, (ROW,), (LIFETIME,), is_change=True),
-        words=WordsPart(4, WORDS),
+        words=StatementsPart(4, WORDS),
     ),
 ]
-READERS = [
+DECODERS = [
     (decode_from_entry, [encode(message) for message in FROM_ENTRY]),
     (decode_from_home, [encode(message) for message in FROM_HOME]),
 ]
@@ -96,10 +99,10 @@
     assert decode_from_home(encode(message)) == message
 
 
-def read_or_refuse(reader, received):
+def decode_or_refuse(decoder, data):
     """Read bytes; any other end than a message or ValueError is a fault."""
     try:
-        return reader(received)
+        return decoder(data)
     except ValueError:
         return None
 
@@ -110,18 +113,18 @@
 @example(b'\x81' * 100_000)
 @example(b'\xc1\xfb\x7f\xf0\x00\x00\x00\x00\x00\x00')
 @example(b'\xd8\x1d\x00')
-def test_bytes_that_are_no_message(received):
-    for reader, _ in READERS:
-        read_or_refuse(reader, received)
+def test_arbitrary_bytes_are_decoded_or_refused(received):
+    for decoder, _ in DECODERS:
+        decode_or_refuse(decoder, received)
 
 
 @given(st.data())
-def test_messages_with_bytes_changed(data):
-    for reader, messages in READERS:
+def test_messages_with_changed_bytes_are_decoded_or_refused(data):
+    for decoder, messages in DECODERS:
         changed = bytearray(data.draw(st.sampled_from(messages)))
         place = data.draw(st.integers(0, len(changed) - 1))
         changed[place] = data.draw(st.integers(0, 255))
-        read_or_refuse(reader, bytes(changed))
+        decode_or_refuse(decoder, bytes(changed))
 
 
 ANYTHING = st.recursive(
@@ -132,10 +135,10 @@
 
 
 @given(st.data(), ANYTHING)
-def test_messages_with_a_field_dropped_or_retyped(data, content):
-    for reader, messages in READERS:
+def test_messages_with_changed_fields_are_decoded_or_refused(data, content):
+    for decoder, messages in DECODERS:
         fields = cbor2.loads(data.draw(st.sampled_from(messages)))
         name = data.draw(st.sampled_from(sorted(fields)))
-        read_or_refuse(reader, cbor2.dumps({**fields, name: content}))
+        decode_or_refuse(decoder, cbor2.dumps({**fields, name: content}))
         fields.pop(name)
-        read_or_refuse(reader, cbor2.dumps(fields))
+        decode_or_refuse(decoder, cbor2.dumps(fields))
--- a/tests/test_gateway_passing_on.py
+++ b/tests/test_gateway_passing_on.py
@@ -12,10 +12,10 @@
 from spanfall_core.gateway.known.reporting import report_period
 from spanfall_node.gateway.links.messages import ConfigurationPart
 from spanfall_node.gateway.links.passing_on import (
-    AHEAD_SECONDS,
-    LINK_PART,
-    MOST_BYTES,
-    PassingOn,
+    BURST_SECONDS,
+    LINK_FRACTION,
+    MAX_UNPACKED_BYTES,
+    ConfigurationSender,
     unpack,
 )
 
@@ -37,55 +37,55 @@
 ).encode()
 
 
-def pass_on(megabits, seconds):
+def distribute(megabits, seconds):
     """Let all entries report; return when each was told, and the bytes."""
-    home = PassingOn(megabits)
+    home = ConfigurationSender(megabits)
     period = report_period(ENTRIES)
-    told = {}
+    received_at = {}
     sent = 0
     steps = int(seconds / period * ENTRIES)
     for step in range(steps):
         entry = step % ENTRIES
         now = step * period / ENTRIES
-        if entry in told:
+        if entry in received_at:
             continue
         part = home.part(7, SOURCE, now)
         if part is not None:
-            told[entry] = now
+            received_at[entry] = now
             sent += len(part.packed)
-    return told, sent
+    return received_at, sent
 
 
 @pytest.mark.parametrize('megabits', [100, 20])
 def test_the_link_stays_free_for_answers(megabits):
-    _, sent = pass_on(megabits, DUE_SECONDS)
-    allowed = megabits * 125_000 * LINK_PART * (DUE_SECONDS + AHEAD_SECONDS)
+    _, sent = distribute(megabits, DUE_SECONDS)
+    allowed = megabits * 125_000 * LINK_FRACTION * (DUE_SECONDS + BURST_SECONDS)
     assert sent <= allowed + len(SOURCE)
 
 
-def test_all_entries_are_told_in_time():
-    told, _ = pass_on(100, DUE_SECONDS)
-    assert len(told) == ENTRIES
+def test_all_entries_receive_it_in_time():
+    received_at, _ = distribute(100, DUE_SECONDS)
+    assert len(received_at) == ENTRIES
 
 
-def test_the_others_are_left_to_read_the_store():
-    told, _ = pass_on(5, DUE_SECONDS)
-    assert 0 < len(told) < ENTRIES
+def test_a_slow_link_leaves_some_entries_to_the_store():
+    received_at, _ = distribute(5, DUE_SECONDS)
+    assert 0 < len(received_at) < ENTRIES
 
 
-def test_what_is_passed_on_is_what_the_store_has():
-    part = PassingOn(100).part(3, SOURCE, 0)
+def test_the_sent_configuration_is_that_of_the_store():
+    part = ConfigurationSender(100).part(3, SOURCE, 0)
     assert (part.version, unpack(part)) == (3, SOURCE)
     assert len(part.packed) < len(SOURCE) / 10
 
 
 @given(st.binary())
-def test_bytes_that_were_not_packed(packed):
+def test_invalid_packed_bytes_are_refused(packed):
     with pytest.raises(ValueError, match='packed|cut off'):
         unpack(ConfigurationPart(1, packed))
 
 
-def test_what_is_too_large_is_refused():
-    part = PassingOn(100).part(1, bytes(MOST_BYTES + 1), 0)
+def test_a_too_large_configuration_is_refused():
+    part = ConfigurationSender(100).part(1, bytes(MAX_UNPACKED_BYTES + 1), 0)
     with pytest.raises(ValueError, match='too large'):
         unpack(part)
--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -33,17 +33,17 @@
 COPY_PERIOD = 0.5
 COPIES = 8
 #: Writes of others between two copies, so that revisions go far back.
-OTHERS_WRITES = 100
-LONGEST_OUTAGE = 3.0
+FOREIGN_WRITES = 100
+MAX_OUTAGE_SECONDS = 3.0
 #: Seconds after a restore within which what was lost is written again.
-WRITTEN_AGAIN = 1.0
-LOOK_PERIOD = 0.02
+MAX_REWRITE_DELAY = 1.0
+OBSERVE_PERIOD = 0.02
 PAUSE = 0.05
 KEY = {'authorization': 'Key k'}
 BOUNDS = {'usage_window_seconds': 1.0, 'duty_lease_seconds': 1.0}
 
 
-def is_over(until):
+def is_past(until):
     return anyio.current_time() >= until
 
 
@@ -58,22 +58,22 @@
     return state.tenure is not None and state.tenure.may_give(now)
 
 
-class Course:
+class RestoreScenario:
     """Hold a fleet, and what the operator and the upstreams wrote."""
 
-    def __init__(self, world, luck):
+    def __init__(self, world, rng):
         self.world = world
-        self.luck = luck
+        self.rng = rng
         self.gateways = []
         self.upstreams = []
-        self.leaver = None
+        self.leaving_upstream = None
         self.statuses = set()
         #: Versions that came into force at each node, and most givers seen.
         self.versions = {}
-        self.most_givers = 0
+        self.max_allocators = 0
         #: Nodes that knew that the leaver leaves, and those that forgot it.
-        self.told = set()
-        self.forgetful = set()
+        self.informed = set()
+        self.forgot = set()
         self.written = {}
         self.copies = deque(maxlen=COPIES)
         self.life = anyio.CancelScope()
@@ -89,41 +89,41 @@
         for _ in range(ENTRIES - 1):
             self.gateways.append(await self.world.add_gateway(**BOUNDS))
         for key in (CONFIGURATION_KEY, *map(entry_key, self.upstreams)):
-            self.note_written(key)
+            self.record_written(key)
 
-    def note_written(self, key):
+    def record_written(self, key):
         """Note what the operator or an upstream has just written."""
         self.written[key] = self.world.store.items[key].content
 
-    async def look(self, until):
-        while not is_over(until):
+    async def observe(self, until):
+        while not is_past(until):
             for state in self.gateways:
                 versions = self.versions.setdefault(state.cfg.node, [])
                 if not versions or versions[-1] != state.version:
                     versions.append(state.version)
-            self.look_for_leaver()
-            givers = [row for row in self.gateways if may_give(row)]
-            self.most_givers = max(self.most_givers, len(givers))
-            await anyio.sleep(LOOK_PERIOD)
+            self.observe_leaving_upstream()
+            allocators = [row for row in self.gateways if may_give(row)]
+            self.max_allocators = max(self.max_allocators, len(allocators))
+            await anyio.sleep(OBSERVE_PERIOD)
 
-    def look_for_leaver(self):
-        if self.leaver is None:
+    def observe_leaving_upstream(self):
+        if self.leaving_upstream is None:
             return
         for state, known in zip(self.gateways, self.serving(), strict=True):
-            if self.leaver.lifetime not in known:
-                self.told.add(state.cfg.node)
-            elif state.cfg.node in self.told:
-                self.forgetful.add(state.cfg.node)
+            if self.leaving_upstream.lifetime not in known:
+                self.informed.add(state.cfg.node)
+            elif state.cfg.node in self.informed:
+                self.forgot.add(state.cfg.node)
 
-    async def copy_often(self, until):
-        while not is_over(until):
+    async def copy_periodically(self, until):
+        while not is_past(until):
             self.copies.append(self.world.store.copy())
-            self.world.store.revision += OTHERS_WRITES
+            self.world.store.revision += FOREIGN_WRITES
             await anyio.sleep(COPY_PERIOD)
 
-    async def call_often(self, until):
+    async def call_periodically(self, until):
         number = 0
-        while not is_over(until):
+        while not is_past(until):
             number += 1
             state = self.gateways[number % len(self.gateways)]
             await self._call(state, number)
@@ -138,47 +138,47 @@
         if state in self.gateways:
             self.statuses.add(answer.status)
 
-    async def change_often(self, until):
+    async def change_periodically(self, until):
         events = [self._leave, self._end_home, self._add_upstream]
-        self.luck.shuffle(events)
-        while not is_over(until):
-            await anyio.sleep(self.luck.uniform(0.1, 1.0))
+        self.rng.shuffle(events)
+        while not is_past(until):
+            await anyio.sleep(self.rng.uniform(0.1, 1.0))
             if self.world.store.failing:
                 continue
             self.world.configure()
-            self.note_written(CONFIGURATION_KEY)
-            if events and self.luck.random() < 0.25:
+            self.record_written(CONFIGURATION_KEY)
+            if events and self.rng.random() < 0.25:
                 await events.pop()()
 
     async def _add_upstream(self):
         newer = await self.world.add_upstream(whole())
         self.upstreams.append(newer)
-        self.note_written(entry_key(newer))
+        self.record_written(entry_key(newer))
 
     async def _leave(self):
-        self.leaver = self.luck.choice(self.upstreams)
-        let_leave(self.world, self.leaver)
-        self.note_written(entry_key(self.leaver))
+        self.leaving_upstream = self.rng.choice(self.upstreams)
+        let_leave(self.world, self.leaving_upstream)
+        self.record_written(entry_key(self.leaving_upstream))
 
     async def _end_home(self):
         self.gateways.pop(0)
         self.life.cancel()
 
-    async def restore_often(self, until):
+    async def restore_periodically(self, until):
         store = self.world.store
-        while not is_over(until):
-            await anyio.sleep(self.luck.uniform(1, 4))
-            store.failing = self.luck.choice((0, 503))
-            await anyio.sleep(self.luck.uniform(0, LONGEST_OUTAGE))
-            store.restore(self.luck.choice(self.copies))
+        while not is_past(until):
+            await anyio.sleep(self.rng.uniform(1, 4))
+            store.failing = self.rng.choice((0, 503))
+            await anyio.sleep(self.rng.uniform(0, MAX_OUTAGE_SECONDS))
+            store.restore(self.rng.choice(self.copies))
             # Only copies of the new timeline are made from now on.
             self.copies.clear()
             self.copies.append(store.copy())
             store.failing = 0
-            await anyio.sleep(self.luck.uniform(0, WRITTEN_AGAIN))
-            self.write_again()
+            await anyio.sleep(self.rng.uniform(0, MAX_REWRITE_DELAY))
+            self.rewrite_lost()
 
-    def write_again(self):
+    def rewrite_lost(self):
         """Write what the restored store does not hold any more."""
         store = self.world.store
         for key, content in self.written.items():
@@ -192,7 +192,7 @@
             for state in self.gateways
         ]
 
-    def knows(self, version, upstreams):
+    def all_have(self, version, upstreams):
         """Tell whether all nodes know what was written last."""
         versions = {state.version for state in self.gateways}
         return versions == {version} and all(
@@ -200,21 +200,25 @@
         )
 
     def expected(self):
-        return {row.lifetime for row in self.upstreams if row != self.leaver}
+        return {
+            row.lifetime
+            for row in self.upstreams
+            if row != self.leaving_upstream
+        }
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_no_course_of_restores_breaks_a_promise(seed):
+def test_random_restores_keep_the_guarantees(seed):
     @in_world
     async def play(world):
-        course = Course(world, Random(seed))
-        await course.start()
-        await play_course(course, world)
-        for versions in course.versions.values():
+        scenario = RestoreScenario(world, Random(seed))
+        await scenario.start()
+        await run_scenario(scenario, world)
+        for versions in scenario.versions.values():
             assert versions == sorted(versions)
-        assert course.most_givers == 1
-        assert not course.forgetful
-        assert course.statuses <= {200, 429, 503}
+        assert scenario.max_allocators == 1
+        assert not scenario.forgot
+        assert scenario.statuses <= {200, 429, 503}
         tokens = [call['token'] for call in world.cloud_calls]
         assert tokens == sorted(tokens)
         reports = counts_by_window(world)
@@ -223,23 +227,23 @@
     play()
 
 
-async def play_course(course, world):
+async def run_scenario(scenario, world):
     """Play a course; in the end all nodes know what was written last."""
     until = anyio.current_time() + SECONDS
     parts = (
-        course.look,
-        course.copy_often,
-        course.call_often,
-        course.change_often,
-        course.restore_often,
+        scenario.observe,
+        scenario.copy_periodically,
+        scenario.call_periodically,
+        scenario.change_periodically,
+        scenario.restore_periodically,
     )
     async with anyio.create_task_group() as tasks:
         for part in parts:
             tasks.start_soon(part, until)
-    course.write_again()
+    scenario.rewrite_lost()
     version = world.configuration.version
-    expected = course.expected()
+    expected = scenario.expected()
     with anyio.fail_after(SECONDS):
-        await wait_until(lambda: course.knows(version, expected))
+        await wait_until(lambda: scenario.all_have(version, expected))
         reported = len(world.cloud_calls)
         await wait_until(lambda: len(world.cloud_calls) > reported)
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -10,8 +10,12 @@
 
 import anyio
 from gateway_world import in_world
-from spanfall_node.gateway.home.leadership import CUT_SECONDS, Leadership
-from spanfall_node.gateway.home.succession import ASK_PERIOD, ASKED, Succession
+from spanfall_node.gateway.home.leadership import CUT_OFF_SECONDS, Leadership
+from spanfall_node.gateway.home.succession import (
+    ROUND_PERIOD,
+    ROUND_SIZE,
+    Succession,
+)
 from spanfall_node.gateway.links.messages import decode_from_home
 from spanfall_node.gateway.links.succession_messages import ResignMessage
 from spanfall_node.gateway.program import start_gateway
@@ -25,24 +29,24 @@
 LONG_LEASE_SECONDS = 120
 
 
-class Gate:
+class StoreGate:
     """Let calls through to the store, or turn them away."""
 
     def __init__(self, store):
-        self.is_shut = False
+        self.is_closed = False
         self._store = store
 
     async def answer(self, seen, stream):
-        if self.is_shut:
+        if self.is_closed:
             await stream.send(answer_bytes(503, b''))
             return True
         return await self._store.answer(seen, stream)
 
 
-async def add_gated(world, gate, **settings):
+async def add_gated_gateway(world, store_gate, **settings):
     """Start a gateway whose way to the store can be shut."""
     usual = world.store_address
-    world.store_address = await start_server(world.tasks, gate.answer)
+    world.store_address = await start_server(world.tasks, store_gate.answer)
     state = await world.add_gateway(**settings)
     world.store_address = usual
     return state
@@ -66,14 +70,14 @@
 @in_world
 async def test_a_home_without_the_store_hands_over(world):
     world.store.least_lease_ms = LONG_LEASE_SECONDS * 1000
-    gate = Gate(world.store)
+    store_gate = StoreGate(world.store)
     settings = {'least_lease_seconds': LONG_LEASE_SECONDS}
-    home = await add_gated(world, gate, **settings)
+    home = await add_gated_gateway(world, store_gate, **settings)
     await wait_until(lambda: is_home(home))
     other = await world.add_gateway(**settings)
     await wait_until(lambda: other.home_heard_at > 0)
     lease = home.tenure.lease
-    gate.is_shut = True
+    store_gate.is_closed = True
     await wait_until(lambda: is_home(other))
     assert lease in world.store.leases
     await wait_until(lambda: home.tenure is None)
@@ -83,14 +87,14 @@
 @in_world
 async def test_entries_without_the_store_follow(world):
     """They hear from the home before which node is the next."""
-    gate = Gate(world.store)
-    home = await add_gated(world, gate)
+    store_gate = StoreGate(world.store)
+    home = await add_gated_gateway(world, store_gate)
     await wait_until(lambda: is_home(home))
-    entry = await add_gated(world, gate)
+    entry = await add_gated_gateway(world, store_gate)
     other = await world.add_gateway()
     await wait_until(lambda: other.home_heard_at > 0)
     await wait_until(lambda: entry.home_heard_at > 0)
-    gate.is_shut = True
+    store_gate.is_closed = True
     await wait_until(lambda: is_home(other))
     epoch = other.tenure.epoch
     await wait_until(lambda: entry.home and entry.home.epoch == epoch)
@@ -99,7 +103,7 @@
 
 
 @in_world
-async def test_nobody_takes_over_without_the_store(world):
+async def test_the_home_stays_while_the_store_is_down_for_all(world):
     """While it is away for all, the home stays what it is."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
@@ -116,7 +120,7 @@
 
 
 @in_world
-async def test_a_restarted_fleet_has_its_limits_at_once(world):
+async def test_a_restarted_fleet_allocates_units_at_once(world):
     """All processes ended; the record of the home is still there.
 
     Another node that took it found nothing listening at its address, and gave
@@ -160,7 +164,7 @@
         assert Succession(self._home).hand_over(tenure.epoch) is not None
 
 
-class Entry:
+class RecordingLink:
     """Keep what a home sends to one entry."""
 
     def __init__(self):
@@ -176,51 +180,51 @@
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     home.tenure.is_cut = True
-    entries = [Entry() for _ in range(3 * ASKED)]
+    entries = [RecordingLink() for _ in range(3 * ROUND_SIZE)]
     succession = Succession(home)
     for cores, entry in enumerate(entries):
         succession.add(entry)
-        succession.note(entry, cores)
-    await succession._tell(home.tenure)
+        succession.set_strength(entry, cores)
+    await succession._notify(home.tenure)
     asked = [at for at, row in enumerate(entries) if row.got]
-    assert asked == list(range(2 * ASKED, 3 * ASKED))
+    assert asked == list(range(2 * ROUND_SIZE, 3 * ROUND_SIZE))
 
 
 @in_world
-async def test_others_are_told_if_the_first_do_not_act(world):
+async def test_more_entries_are_notified_if_the_first_do_not_act(world):
     """The first to be told may be cut off itself, or lose its answers."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     home.tenure.is_cut = True
     epoch = home.tenure.epoch
-    entries = [Entry() for _ in range(2 * ASKED)]
+    entries = [RecordingLink() for _ in range(2 * ROUND_SIZE)]
     succession = Succession(home)
     for entry in entries:
         succession.add(entry)
     assert succession.hand_over(epoch) == ResignMessage(epoch)
     assert succession.hand_over(epoch) is None
     for _ in range(3):
-        await anyio.sleep(ASK_PERIOD)
-        await succession._tell(home.tenure)
+        await anyio.sleep(ROUND_PERIOD)
+        await succession._notify(home.tenure)
     told = ResignMessage(epoch)
     assert all(entry.got and entry.got[0] == told for entry in entries)
 
 
 @in_world
-async def test_one_lost_renewal_hands_nothing_over(world):
-    gate = Gate(world.store)
-    home = await add_gated(world, gate)
+async def test_one_lost_renewal_keeps_the_home(world):
+    store_gate = StoreGate(world.store)
+    home = await add_gated_gateway(world, store_gate)
     await wait_until(lambda: is_home(home))
     renewed_at = home.tenure.renewed_at
-    gate.is_shut = True
-    await anyio.sleep(CUT_SECONDS / 2)
-    gate.is_shut = False
+    store_gate.is_closed = True
+    await anyio.sleep(CUT_OFF_SECONDS / 2)
+    store_gate.is_closed = False
     await wait_until(lambda: home.tenure.renewed_at > renewed_at)
     assert not home.tenure.is_cut
 
 
 @in_world
-async def test_hundreds_may_link_at_one_moment(world):
+async def test_hundreds_of_links_may_open_at_once(world):
     """The home is busy while the entries of a large fleet find it."""
     home = await world.add_gateway()
     host, _, port = home.cfg.listen.links.rpartition(':')
@@ -238,7 +242,7 @@
 
 
 @in_world
-async def test_a_renewal_under_way_brings_nothing_back(world):
+async def test_a_renewal_under_way_does_not_undo_a_handover(world):
     """The home handed over while it waited: two would give units."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
@@ -248,7 +252,7 @@
 
 
 @in_world
-async def test_the_end_of_a_link_is_no_failure(world):
+async def test_an_entry_drops_a_home_that_closes_its_link(world):
     """An entry that took it for one went on with a home that was no more."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -12,23 +12,23 @@
 from spanfall_api.gateway_settings import GatewaySettings, Listen
 from spanfall_node.gateway import program
 
-SUSPENDED = 10.0
+SUSPENDED_SECONDS = 10.0
 #: Seconds of a scope that was entered before the suspension.
-SCOPE = 5.0
+SCOPE_SECONDS = 5.0
 
 
 @pytest.fixture(name='suspend')
 def suspend_host(monkeypatch):
     """Let the clocks that count a suspension go on, and no other."""
-    passed = []
+    skipped_seconds = []
     read = time.clock_gettime
 
     def read_clock(clock):
-        counted = sum(passed) if clock == time.CLOCK_BOOTTIME else 0
+        counted = sum(skipped_seconds) if clock == time.CLOCK_BOOTTIME else 0
         return read(clock) + counted
 
     monkeypatch.setattr(time, 'clock_gettime', read_clock)
-    return lambda: passed.append(SUSPENDED)
+    return lambda: skipped_seconds.append(SUSPENDED_SECONDS)
 
 
 def test_ages_and_scopes_count_a_suspension(suspend, monkeypatch, tmp_path):
@@ -36,7 +36,7 @@
 
     async def run(state, path):
         began_at = state.timers.now()
-        scope = anyio.move_on_after(SCOPE)
+        scope = anyio.move_on_after(SCOPE_SECONDS)
         with scope:
             suspend()
             await anyio.sleep(2)
@@ -52,5 +52,5 @@
     )
     program.run_gateway(cfg, tmp_path)
     passed, is_ended = seen[0]
-    assert SUSPENDED <= passed < SUSPENDED + SCOPE
+    assert SUSPENDED_SECONDS <= passed < SUSPENDED_SECONDS + SCOPE_SECONDS
     assert is_ended
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -6,9 +6,9 @@
 from gateway_world import ask, in_world
 from spanfall_node.gateway.duties.duties import (
     USAGE_KEY,
-    Cloud,
-    UsageDuty,
+    CloudClient,
     UsageRecord,
+    UsageReporter,
 )
 from spanfall_standins.gateway.dialect import PlainWorkspace
 from spanfall_standins.gateway.upstream import whole
@@ -101,7 +101,7 @@
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     async with store_client(world) as store:
-        duty = UsageDuty(home, store, Cloud(home, None))
+        duty = UsageReporter(home, store, CloudClient(home, None))
         first = home.tenure
         assert first.is_first
         await duty._take_over(first)
