--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Do what one node does for the fleet: report usage, order upstreams."""
+"""Run the tasks of the home: report usage and order upstreams."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -1,4 +1,4 @@
-"""Order the upstreams that the load of the fleet needs."""
+"""Order the upstreams that the fleet's load requires."""
 
 import logging
 from dataclasses import dataclass, field
@@ -26,11 +26,12 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two plans: a notice of two seconds is half the boot time.
+#: Seconds between two planning runs. Reclaim notices of two seconds are half
+#: the boot time of an upstream, so the replacement must be ordered quickly.
 PLAN_PERIOD = 0.25
-#: Seconds after which a new home knows all upstreams and all load.
+#: Seconds until a new home has received all upstreams and all load.
 SETTLE_SECONDS = 3.0
-#: The same for the first home of a fleet, which takes nothing over.
+#: The same for the first home of a fleet, which has no predecessor.
 FIRST_SETTLE_SECONDS = 0.5
 #: Seconds over which rates are averaged.
 RATE_AVERAGE_SECONDS = 2.0
@@ -38,14 +39,14 @@
 
 @dataclass(slots=True)
 class RateEstimator:
-    """Measure by how much a second a count of each service grows."""
+    """Estimate the growth per second of one counter of each service."""
 
     totals: Counts = field(default_factory=dict)
     rates: dict[str, float] = field(default_factory=dict)
     updated_at: float = 0
 
     def update(self, totals: Counts, now: float) -> None:
-        """Take new sums; the rate follows them with a delay."""
+        """Add new totals to the exponentially smoothed rates."""
         elapsed = now - self.updated_at
         for service, total in totals.items():
             previous = self.totals.get(service, total)
@@ -58,21 +59,21 @@
 
 
 class CapacityPlanner:
-    """Keep the orders of each service in line with its load."""
+    """Order upstreams for each service according to its load."""
 
     def __init__(self, state: GatewayState, cloud: CloudClient) -> None:
-        """Use the tables of the node and the cloud."""
+        """Use the state of the node and the cloud client."""
         self._state = state
         self._cloud = cloud
         self._epoch = 0
-        #: When the time as home began that the orders are of.
+        #: Start of the tenure that the orders belong to.
         self._tenure_began_at: float | None = None
         self._orders: dict[str, ServiceOrders] = {}
         self._prefill_rates = RateEstimator()
         self._request_rates = RateEstimator()
 
     async def run(self) -> None:
-        """Plan and order until cancelled."""
+        """Plan and place orders until cancelled."""
         while True:
             await anyio.sleep(PLAN_PERIOD)
             if self._state.tenure is not None:
@@ -130,7 +131,7 @@
             await self._send(order, orders)
 
     def _orders_of(self, service: str, now: float) -> ServiceOrders:
-        """Return the orders of a service, at first as the last home left it."""
+        """Return a service's orders, starting from the last home's demand."""
         service_orders = self._orders.get(service)
         if service_orders is None:
             demand = take_over(self._state.needs.get(service, 0), now)
@@ -184,7 +185,8 @@
         elif status == 409:
             note_refused(order, orders, now)
         logger.info(
-            'Ordered %s, status %s; peak demand %.1f, %s found, reading %s',
+            'Ordered %s, status %s; peak demand %.1f, initially %s upstreams, '
+            'prefill speed %s',
             order,
             status,
             orders.demand.peak,
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
@@ -1,4 +1,4 @@
-"""Make the calls that one node makes for the whole fleet."""
+"""Call the cloud API on behalf of the whole fleet."""
 
 import logging
 
@@ -16,40 +16,40 @@
 
 logger = logging.getLogger(__name__)
 
-#: Key of the record of the usage windows that were sent.
+#: Store key of the record of the usage windows that were sent.
 USAGE_KEY = 'spanfall/usage'
-#: Seconds between two looks at what is due.
+#: Seconds between two checks for windows that are due.
 CHECK_PERIOD = 0.5
-#: Seconds after the end of a window at which all entries have reported it.
+#: Seconds after the end of a window until all entries have reported it.
 SETTLE_SECONDS = 2.0
-#: Seconds for one call to the cloud API.
+#: Timeout of one call to the cloud API, in seconds.
 CLOUD_TIMEOUT_SECONDS = 1.5
-#: Windows that the record keeps, for a holder that must repeat one.
+#: Windows kept in the record, for a home that has to resend one.
 RECORDED_WINDOWS = 3
-#: Windows before the one just sent whose counts are kept.
+#: Windows before the last sent one whose counts are kept in memory.
 RETAINED_WINDOWS = 8
 
 
 class UsageRecord(msgspec.Struct):
-    """Hold the newest windows with the counts that were sent for them."""
+    """Store the newest windows with the counts that were sent for them."""
 
     windows: WindowCounts
-    #: Timeline of the store on which it was written.
+    #: Timeline of the store on which the record was written.
     timeline: int = 0
 
 
 class CloudClient:
-    """Call the cloud API, only while this node certainly is the home."""
+    """Call the cloud API, only while this node is certain to be the home."""
 
     def __init__(self, state: GatewayState, pool: ConnectionPool) -> None:
-        """Use the tables and the connections of the node."""
+        """Use the state and the connection pool of the node."""
         self._state = state
         self._pool = pool
 
     def may_act(self) -> bool:
-        """Tell whether this node may act for the fleet now.
+        """Tell whether this node may call the cloud for the fleet now.
 
-        A new home waits as long as calls of the one before may arrive.
+        A new home waits until no call of its predecessor can still arrive.
         """
         state = self._state
         now = state.timers.now()
@@ -61,7 +61,7 @@
         return waited >= state.cfg.bounds.duty_lease_seconds
 
     async def call(self, name: str, call: HttpCall) -> int:
-        """Make one call; return its status, or 0 where nobody knows."""
+        """Make one call and return its status, or 0 if it is unknown."""
         state = self._state
         if not self.may_act():
             return 0
@@ -74,11 +74,11 @@
             )
         except CallError as exc:
             state.counters.orders.labels(f'{name} failed').inc()
-            logger.warning('The cloud did not answer %s: %s', name, exc.reason)
+            logger.warning('Cloud call %s failed: %s', name, exc.reason)
             return 0
         state.counters.orders.labels(f'{name} {reply.status}').inc()
         logger.info(
-            'The cloud answered %s with %s: %s',
+            'Cloud call %s returned status %s: %s',
             name,
             reply.status,
             call.body.decode(),
@@ -87,10 +87,10 @@
 
 
 class UsageReporter:
-    """Report the runs of each window once, with one content.
+    """Report the usage of each window idempotently.
 
     The counts are recorded in the store before they are sent, so that a
-    holder that takes over repeats them instead of making new ones.
+    succeeding home resends the same counts instead of computing new ones.
     """
 
     def __init__(
@@ -99,22 +99,22 @@
         store: StoreClient,
         cloud: CloudClient,
     ) -> None:
-        """Use the tables of the node, the store and the cloud."""
+        """Use the state of the node, the store and the cloud client."""
         self._state = state
         self._store = store
         self._cloud = cloud
         self._epoch = 0
-        #: This node's last time as home in which it reported.
+        #: This node's last tenure in which it reported.
         self._reporting_tenure: Tenure | None = None
         self._revision = 0
         self._record = UsageRecord({})
         self._unsent: list[int] = []
-        #: First window of a holder that does not know what was sent before:
+        #: First window to report, if it is unknown which were sent before:
         #: earlier ones may have been sent with other counts.
         self._first_window: int | None = None
 
     async def run(self) -> None:
-        """Report what is due until cancelled."""
+        """Report the windows that are due, until cancelled."""
         while True:
             await anyio.sleep(CHECK_PERIOD)
             if not self._cloud.may_act():
@@ -123,7 +123,10 @@
                 await self._step()
             except StoreError as exc:
                 self._epoch = 0
-                logger.info('Could not record the usage: %r', exc)
+                logger.info(
+                    'Could not access the usage record in the store: %r',
+                    exc,
+                )
 
     async def _step(self) -> None:
         tenure = self._state.tenure
@@ -161,9 +164,9 @@
         record: UsageRecord | None,
         tenure: Tenure,
     ) -> tuple[UsageRecord, int | None]:
-        """Return what was sent, and the first window that surely was not.
+        """Return the sent windows and the first that was certainly not sent.
 
-        Windows may have been sent whose record is lost.
+        A restore of the store may have lost records of sent windows.
         """
         next_due = self._due_window() + 1
         if record is None:
@@ -174,9 +177,10 @@
         return record, None if none_reported else next_due
 
     def _has_complete_record(self) -> bool:
-        """Tell whether no other node can have sent any since this one did.
+        """Tell whether no other node can have sent windows since this one.
 
-        A new home waits before it acts, and the store was restored sooner.
+        A new home waits for the duty lease before it calls the cloud, and the
+        store was restored before that time had passed.
         """
         if self._reporting_tenure is None:
             return False
@@ -193,7 +197,7 @@
         return state.usage.window_of(true_time - SETTLE_SECONDS) - 1
 
     def _next_window(self, due: int) -> int:
-        """Return the first window that was not recorded yet."""
+        """Return the first window that is not recorded yet."""
         first = self._first_window
         if self._record.windows:
             unrecorded = max(self._record.windows) + 1
@@ -241,7 +245,10 @@
             state.fleet.usage.forget_before(window - RETAINED_WINDOWS)
             return True
         if 400 <= status < 500 and status != 429:
-            logger.error('The cloud refused the usage of window %s', window)
+            logger.error(
+                'The cloud refused the usage report of window %s',
+                window,
+            )
             self._unsent.remove(window)
             return True
         return False
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/__init__.py
@@ -1,1 +1,1 @@
-"""Be the home of the fleet, follow it, or take over."""
+"""Elect the home of the fleet, serve as the home and follow it."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/claiming.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/claiming.py
@@ -1,4 +1,4 @@
-"""Claim the record of the home for this node."""
+"""Claim the home record for this node."""
 
 import logging
 from dataclasses import dataclass
@@ -22,31 +22,31 @@
 
 logger = logging.getLogger(__name__)
 
-#: Key of a record that is written with each new home and never removed.
+#: Store key of a record that every new home writes and that is never removed.
 HISTORY_KEY = 'spanfall/history'
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Hold a record that this node has just written."""
+    """Describe a home record that this node has just written."""
 
     home: HomeRecord
     lease: int
-    #: When the lease was asked for.
+    #: When the lease was requested.
     sent_at: float
-    #: Whether no node of this fleet was ever the home before.
+    #: Whether no node of this fleet has ever been the home before.
     is_first: bool
-    #: Whether no node was the home yet since the store was restored.
+    #: Whether no node has been the home since the store was restored.
     is_first_since_restore: bool
 
     @property
     def epoch(self) -> int:
-        """Return the epoch that the record begins."""
+        """Return the epoch that starts with the record."""
         return self.home.epoch
 
     @property
     def timeline(self) -> int:
-        """Return the timeline of the store on which it was written."""
+        """Return the store timeline on which the record was written."""
         return timeline_of(self.epoch)
 
 
@@ -56,12 +56,13 @@
     known_revision: int,
     lease_seconds: float,
 ) -> Claim | None:
-    """Write this node's record over one of revision ``known``.
+    """Replace the home record of revision ``known_revision`` by this node's.
 
-    ``known`` is 0 where there is none. Return None if another node was first.
+    ``known_revision`` is 0 if there is no record. Return None if another node
+    has changed the record meanwhile.
 
     Raises:
-        StoreError: nobody knows whether it was written.
+        StoreError: it is unknown whether the record was written.
     """
     timeline = store.timeline
     history = await store.get(HISTORY_KEY)
@@ -88,7 +89,7 @@
             _superseded_keys(last, timeline),
         )
     except ConditionFailedError:
-        logger.info('Another node became the home first')
+        logger.info('Another node claimed the home record first')
         return None
     is_restored = _is_earlier_timeline(last, timeline, store)
     return Claim(
@@ -103,9 +104,10 @@
 def _superseded_keys(
     last: HomeContent | None, timeline: int
 ) -> tuple[str, ...]:
-    """Return the keys of earlier timelines that are to hold no record.
+    """Return the home keys of earlier timelines that must hold no record.
 
-    What a home wrote under such a condition may arrive late.
+    Writes that an earlier home sent under the condition of such a record may
+    arrive late and must fail.
     """
     if last is None or last.timeline == timeline:
         return ()
@@ -117,7 +119,7 @@
     timeline: int,
     store: StoreClient,
 ) -> bool:
-    """Tell whether the last home was one of an earlier timeline."""
+    """Tell whether the last home was elected on an earlier timeline."""
     if last is None:
         return store.was_restored
     return last.timeline != timeline
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -1,8 +1,8 @@
-"""Hold an entry's link to the home: report on it and follow its table.
+"""Keep an entry's link to the home: send reports and apply its tables.
 
-The counts of what runs go out whenever they change, so that the home's
-grants rest on the present; reports with all the rest go out from time to
-time, and the home answers each with its table.
+Counts of running requests are sent whenever they change, so that the home
+grants upstreams by the current load. Full reports are sent periodically, and
+the home answers each with its table.
 """
 
 import logging
@@ -46,16 +46,16 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two looks at which node is the home.
+#: Seconds between two checks for a home to link to.
 HOME_CHECK_PERIOD = 0.1
-#: Seconds for an answer of the home, and for a new link to it.
+#: Timeout in seconds for an answer of the home and for a new link to it.
 ANSWER_TIMEOUT_SECONDS = 0.8
-#: Seconds for which changes of what runs are gathered before they are told.
+#: Seconds for which load changes are collected before they are sent.
 LOAD_PERIOD = 0.05
-#: Part of the period of reports after which one may go out early, since units
-#: of a workspace run out.
+#: Fraction of the report period after which a report may be sent early because
+#: units of a workspace run out.
 MIN_PERIOD_FRACTION = 0.25
-#: Early reports a second that the home takes from all entries together.
+#: Early reports per second that the home accepts from all entries together.
 MAX_EARLY_REPORTS_PER_SECOND = 400
 
 
@@ -63,7 +63,7 @@
 
 
 class EntryLink:
-    """Report to the home and follow its table."""
+    """Report to the home and apply its tables."""
 
     def __init__(
         self,
@@ -73,22 +73,22 @@
         units: UnitRequests,
         watch: CrashWatch,
     ) -> None:
-        """Use the tables of the node, its ways to learn and to ask."""
+        """Use the state of the node, its sync and its requesters."""
         self._state = state
         self._sync = sync
         self._grants = grants
         self._units = units
-        #: Parts that tell the home of single requests.
+        #: Components that send messages about single requests to the home.
         self._requesters = (grants, units, watch)
         self._tables: list[TableMessage] = []
         self._table_received = anyio.Event()
-        #: Set when a home that is cut off asks for the store.
+        #: Set when a home that cannot reach the store asks whether this can.
         self._store_check_requested = anyio.Event()
         self._table = FollowedTable(state, sync)
         self._reconnect = HomeReconnect(state, sync)
 
     async def run(self) -> None:
-        """Keep a link to whichever node is the home, until cancelled."""
+        """Keep a link to the current home until cancelled."""
         while True:
             if self._should_link():
                 await self._follow_home()
@@ -111,7 +111,7 @@
             with anyio.fail_after(ANSWER_TIMEOUT_SECONDS):
                 link = await self._connect(home.address)
         except (OSError, TimeoutError, WebSocketException) as exc:
-            self._mark_home_lost(f'no link: {exc!r}')
+            self._mark_home_lost(f'connection failed: {exc!r}')
             return
         try:
             await self._run_link(link)
@@ -130,7 +130,7 @@
         )
 
     async def _run_link(self, link: ClientConnection) -> None:
-        """Use a link until it fails or there is another home."""
+        """Run the tasks of a link until it fails or the home changes."""
         self._state.loads.forget_others()
         self._table = FollowedTable(self._state, self._sync)
         self._tables = []
@@ -157,21 +157,23 @@
         try:
             await task(link)
         except TimeoutError as exc:
-            self._mark_home_lost(f'no answer: {exc!r}')
+            self._mark_home_lost(f'answer timed out: {exc!r}')
         except (OSError, WebSocketException) as exc:
-            self._mark_home_lost(f'the link ended: {exc!r}')
+            self._mark_home_lost(f'link closed: {exc!r}')
         except ValueError:
-            logger.exception('The home sent no message; check its version')
-            self._mark_home_lost('no message')
+            logger.exception(
+                'The home sent an invalid message; check its version',
+            )
+            self._mark_home_lost('invalid message')
 
     async def _receive(self, link: ClientConnection) -> None:
-        """Take what the home sends; the reports wait for their tables."""
+        """Receive messages of the home; reports wait for their tables."""
 
         async def ask(message: msgspec.Struct) -> None:
             try:
                 await link.send(encode(message))
             except (OSError, WebSocketException) as exc:
-                logger.info('Could not ask the home: %r', exc)
+                logger.info('Could not send a message to the home: %r', exc)
 
         await ask(self._state.crashes.report(self._state.timers.now()))
         for requester in self._requesters:
@@ -201,7 +203,7 @@
                 self._state.follow_home(message.home, now)
 
     async def _answer_store_questions(self, link: ClientConnection) -> None:
-        """Tell a home that is cut off whether this node reaches the store."""
+        """Answer a home that asks whether this node reaches the store."""
         epoch = self._state.home.epoch
         while True:
             await self._store_check_requested.wait()
@@ -220,13 +222,13 @@
         await self._send_farewell(link, epoch)
 
     async def _send_farewell(self, link: ClientConnection, epoch: int) -> None:
-        """Tell a home that another has followed it, if that is so."""
+        """Notify the home if it was superseded by another."""
         home = self._state.home
         if home is not None and home.epoch > epoch:
             await link.send(encode(FarewellMessage(home)))
 
     async def _wait_for_next_report(self, epoch: int) -> None:
-        """Wait for the next report; units that run out bring it forward."""
+        """Wait until the next report is due, or units run out."""
         quotas = self._state.quotas
         period = self._table.report_after
         min_wait = max(
@@ -274,7 +276,7 @@
         state.learn_given(table.given, report, now)
 
     async def _send_load(self, link: ClientConnection) -> None:
-        """Tell the home what runs here whenever it has changed."""
+        """Send the home this node's load whenever it has changed."""
         sent_changes = -1
         while True:
             if sent_changes == self._state.loads.changes:
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
@@ -1,4 +1,4 @@
-"""Take over what the home says in its tables."""
+"""Apply the tables that the home sends."""
 
 import logging
 
@@ -20,20 +20,20 @@
 
 
 class FollowedTable:
-    """Follow the tables of one link to the home."""
+    """Apply the tables received on one link to the home."""
 
     def __init__(self, state: GatewayState, sync: Sync) -> None:
-        """Use the tables of the node and its way to learn."""
+        """Use the state of the node and its sync."""
         self._state = state
         self._sync = sync
         self._totals_received_at = float('-inf')
-        #: Seconds until the next report, as the home said.
+        #: Seconds until the next report, as set by the home.
         self.report_after = REPORT_PERIOD
-        #: Version of the home's words of upstreams that is known.
+        #: Version of the home's upstream statements that was received last.
         self.words_version = 0
 
     def apply(self, table: TableMessage, sent_at: float) -> None:
-        """Take over a table that answers a report sent at a time."""
+        """Apply a table that answers a report sent at ``sent_at``."""
         state = self._state
         now = state.timers.now()
         state.home_heard_at = now
@@ -55,7 +55,7 @@
         else:
             self._learn_upstreams(table.upstreams, listed_at)
         if state.true_time.correct(table.true_time, now):
-            logger.warning('Followed the time of day of the home')
+            logger.warning('Corrected the time of day to that of the home')
         if table.words is not None:
             learn_words(state, table.words.words)
             self.words_version = table.words.version
@@ -64,7 +64,7 @@
             apply_totals(state, table.totals, now)
 
     def wants_totals(self, now: float) -> bool:
-        """Tell whether the sums over the other entries are old."""
+        """Tell whether the totals of the other entries are outdated."""
         return now - self._totals_received_at >= totals_period(
             self._state.quotas.entries,
         )
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_content.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_content.py
@@ -1,4 +1,4 @@
-"""Hold and write the record of the home as the store holds it."""
+"""Define and encode the home record in the store."""
 
 import msgspec
 
@@ -6,17 +6,17 @@
 
 
 class HomeContent(msgspec.Struct, frozen=True):
-    """Hold the record; its revision, on its timeline, is the epoch."""
+    """Define the stored record; its revision on its timeline is the epoch."""
 
     node: str
     address: str
     incarnation: str
-    #: Timeline of the store on which it was written.
+    #: Timeline of the store on which the record was written.
     timeline: int = 0
 
 
 def make_home_record(content: HomeContent, epoch: int) -> HomeRecord:
-    """Return the home that a record of an epoch names."""
+    """Return the home that a stored record of an epoch names."""
     return HomeRecord(
         content.node,
         content.address,
@@ -26,5 +26,5 @@
 
 
 def encode_home(content: HomeContent) -> bytes:
-    """Return the record of a home."""
+    """Return the JSON encoding of a home record."""
     return msgspec.json.encode(content)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -1,9 +1,9 @@
-"""Answer the entries while this node is the home.
+"""Serve the links of entries while this node is the home.
 
-Each entry holds one websocket to the home. It reports on it and gets the
-home's table back, tells what it has running, and asks which upstream is to
-serve a request. A node that is no home closes the link, and the entry looks
-the home up again.
+Each entry keeps one websocket to the home. On it the entry sends reports,
+which are answered with the home's table, and its load, and requests the
+upstreams for single requests. A node that is not the home closes the link, and
+the entry looks up the home again.
 """
 
 import logging
@@ -53,15 +53,15 @@
 
 logger = logging.getLogger(__name__)
 
-#: Age of what was never read, as a finite number of seconds.
+#: Finite age in seconds sent for data that was never read.
 MAX_AGE_SECONDS = 1e9
 
 
 class HomeLinks:
-    """Answer what entries send while this node is the home."""
+    """Answer messages of entries while this node is the home."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Use the tables of the node."""
+        """Use the state of the node."""
         self._state = state
         self._succession = Succession(state)
         self._quarantine = QuarantineLinks(state)
@@ -70,7 +70,7 @@
         )
 
     async def run(self) -> None:
-        """Listen for entries until cancelled."""
+        """Accept links of entries until cancelled."""
         host, _, port = self._state.cfg.listen.links.rpartition(':')
         async with serve(
             self._serve_link,
@@ -89,7 +89,7 @@
                 self._resign()
 
     def _resign(self) -> None:
-        """Act no more once nobody can reach this node: others take over."""
+        """Resign as home when the listener ends, so that others take over."""
         if self._state.tenure is not None:
             self._state.tenure.resign()
 
@@ -105,15 +105,17 @@
                 if answer is not None:
                     await link.send(answer)
         except (WebSocketException, OSError) as exc:
-            logger.info('A link from an entry ended: %r', exc)
+            logger.info('The link of an entry failed: %r', exc)
         except ValueError:
-            logger.exception('An entry sent no message; check its version')
+            logger.exception(
+                'An entry sent an invalid message; check its version',
+            )
         finally:
             self._succession.remove(link)
             self._quarantine.remove(link)
 
     async def _redirect(self, link: ServerConnection) -> None:
-        """Name the home to an entry that takes this node for it."""
+        """Send the current home to an entry that has linked to this node."""
         if self._state.home is not None:
             await link.send(encode(SuccessorMessage(self._state.home)))
 
@@ -144,7 +146,7 @@
         link: ServerConnection | None,
         now: float,
     ) -> bytes | None:
-        """Answer a message that wants an answer."""
+        """Return the answer to a message that expects one."""
         match message:
             case StoreReached():
                 resigned = self._succession.hand_over(message.epoch)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -1,9 +1,9 @@
-"""Choose the home of the fleet: the holder of one leased record.
+"""Elect the home of the fleet: the holder of one leased record.
 
 The revision of the record is the home's epoch and the fencing token of its
-calls. A holder acts only while its lease is certain to last, counted from
+calls. A holder acts only while its lease is certain to be valid, counted from
 before the renewal was sent. A store that was restored from a copy has lost
-record and lease: there is another record for each timeline.
+the record and the lease, so each timeline has a record of its own.
 """
 
 import logging
@@ -43,24 +43,25 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds that the home's lease lasts without renewal, where the store
-#: grants one as short.
+#: Duration of the home's lease in seconds, unless the store's shortest lease
+#: is longer.
 LEASE_SECONDS = 2.5
-#: Seconds before the end of the lease at which its holder stops to act.
+#: Seconds before the end of the lease at which its holder stops acting.
 LEASE_MARGIN = 0.5
-#: Seconds between two renewals.
+#: Seconds between two renewals of the lease.
 RENEW_PERIOD = 0.5
-#: Seconds for one: a home that is cut off hands over while its lease lasts.
+#: Timeout of a renewal in seconds. It is short so that a home that cannot
+#: reach the store hands over while its lease is still valid.
 RENEW_TIMEOUT_SECONDS = 0.3
-#: Seconds since the last renewal after which failures mean that the home is
-#: cut off; a single answer that is lost does not.
+#: Seconds since the last renewal after which a failed one means that the home
+#: is cut off from the store. A single lost answer does not.
 CUT_OFF_SECONDS = 0.85
-#: Seconds until the next after one that failed.
+#: Seconds until the next renewal after a failed one.
 RETRY_PERIOD = 0.1
 
 
 class Leadership:
-    """Find the home, or become it when there is none."""
+    """Look up the home, or become it if there is none."""
 
     def __init__(
         self,
@@ -68,27 +69,27 @@
         store: StoreClient,
         records: HomeRecords,
     ) -> None:
-        """Use the tables of the node, the store and what homes record."""
+        """Use the state of the node, the store and the records of homes."""
         self._state = state
         self._store = store
         self._records = records
-        #: When this node first saw that nobody holds the record.
+        #: When this node first found the record without a valid holder.
         self._free_since: float | None = None
 
     async def run(self) -> None:
-        """Follow or hold the home's record until cancelled."""
+        """Follow or hold the home record until cancelled."""
         while True:
             try:
                 await self._step()
             except LeaseLostError:
-                self._step_down('the lease has ended')
+                self._step_down('its lease has expired')
                 self._state.look_now.set()
             except StoreError as exc:
                 logger.info('Could not look up the home: %r', exc)
             await self._wait(self._check_interval())
 
     async def _wait(self, seconds: float) -> None:
-        """Wait for some seconds, or until there is a reason to look."""
+        """Wait for some seconds, or until a lookup is requested."""
         state = self._state
         with anyio.move_on_after(seconds):
             await state.look_now.wait()
@@ -96,18 +97,18 @@
             state.look_now = anyio.Event()
 
     async def resign(self) -> None:
-        """Give the record up, so that another node takes over at once.
+        """Release the record, so that another node takes over at once.
 
-        This node goes on to answer the entries until it knows another home.
+        This node keeps answering the entries until there is another home.
         """
         tenure = self._state.tenure
         if tenure is None:
             return
-        self._step_down('this node stops')
+        self._step_down('this node is stopping')
         try:
             await self._store.revoke(tenure.timeline, tenure.lease)
         except StoreError as exc:
-            logger.info('Could not end the lease: %r', exc)
+            logger.info('Could not revoke the lease of the home: %r', exc)
 
     @property
     def _lease_seconds(self) -> float:
@@ -133,7 +134,7 @@
             await self._look_up_home()
 
     def _is_home_suspect(self) -> bool:
-        """Tell whether the home is silent or cannot reach the store."""
+        """Tell whether the home is silent, has resigned or lost the store."""
         state = self._state
         if state.home_resigned or state.tenure is not None:
             return True
@@ -162,17 +163,18 @@
             tenure.is_cut = now - tenure.renewed_at > CUT_OFF_SECONDS
             raise
         if tenure.resigned:
-            # Handed over meanwhile: what was renewed is not held any more.
+            # The home was handed over during the renewal, so the renewed
+            # lease must not extend the tenure.
             return
         tenure.is_cut = False
         tenure.renewed_at = sent_at
         tenure.valid_until = self._valid_until(sent_at)
 
     async def _claim_on_new_timeline(self, tenure: Tenure) -> None:
-        """Hold the record of the store's next timeline as well.
+        """Claim the record of the store's next timeline during the tenure.
 
-        While its lease of the one before lasts no other node was the home
-        there, so there is no break.
+        While the lease on the previous timeline is valid no other node can
+        have become the home there, so the tenure continues without a gap.
         """
         if self._state.timers.now() >= tenure.valid_until:
             raise LeaseLostError
@@ -181,7 +183,7 @@
         if claim is None:
             raise LeaseLostError
         if self._state.tenure is not tenure or tenure.resigned:
-            # Handed over meanwhile: another may be the home by now.
+            # The home was handed over meanwhile, so another node may hold it.
             await self._store.revoke(claim.timeline, claim.lease)
             return
         continue_tenure(self._state, claim, self._valid_until(claim.sent_at))
@@ -190,7 +192,7 @@
         timeline = self._store.timeline
         item = await self._store.get(home_key(timeline))
         if self._store.timeline != timeline:
-            # That was the record of an earlier timeline.
+            # The record was read from an earlier timeline.
             self._state.look_now.set()
             return
         if item is None:
@@ -209,7 +211,7 @@
             await self._try_to_become_home(0)
 
     def _epoch(self) -> int:
-        """Return the epoch of the home that is known, or 0."""
+        """Return the epoch of the followed home, or 0 if there is none."""
         return self._state.home.epoch if self._state.home else 0
 
     async def _handle_record(self, item: StoredItem) -> None:
@@ -228,10 +230,10 @@
             self._follow(item.revision, content)
 
     async def _replace_unreadable_record(self, item: StoredItem) -> None:
-        """Take over from a home whose record nobody can read.
+        """Take over from a home whose record cannot be decoded.
 
-        It may live on until its lease would have ended. Until then this node
-        gives no units: two would give the same ones.
+        That home may act until its lease would have expired. Until then this
+        node allocates no units, since both would allocate the same ones.
         """
         known_revision = item.revision
         if item.lease:
@@ -242,23 +244,23 @@
         )
 
     def _may_claim(self) -> bool:
-        """Tell whether larger hosts have had time to become the home."""
+        """Tell whether larger hosts have had time to claim the record."""
         seconds = (
             SMALL_HOST_DELAY_SECONDS if is_small(self._state.cfg.host) else 0
         )
         return self._has_been_free_for(seconds)
 
     def _has_been_free_for(self, seconds: float) -> bool:
-        """Tell whether there has been no home for some seconds."""
+        """Tell whether the record has been free for some seconds."""
         now = self._state.timers.now()
         if self._free_since is None:
             self._free_since = now
         return now - self._free_since >= seconds
 
     def _is_from_earlier_run(self, content: HomeContent) -> bool:
-        """Tell whether an earlier run of this node holds the record.
+        """Tell whether an earlier run of this node wrote the record.
 
-        That run is over, so its record may be replaced at once.
+        That run has ended, so its record may be replaced at once.
         """
         is_same = content.node == self._state.cfg.node
         return is_same and content.incarnation != self._state.incarnation
@@ -270,9 +272,10 @@
     async def _try_to_become_home(
         self, known_revision: int, allocation_delay: float = 0
     ) -> None:
-        """Write this node's record over one of revision ``known``.
+        """Replace the record of revision ``known_revision`` by this node's.
 
-        ``gives_after`` are the seconds after which it may give units.
+        ``allocation_delay`` is the time in seconds before this node may
+        allocate units.
         """
         state = self._state
         shared_levels = await self._records.spending.read()
@@ -285,7 +288,8 @@
         state.shared_levels = shared_levels
         gives_at = state.timers.now() + allocation_delay
         if claim.is_first_since_restore:
-            # The store has forgotten the lease of a home that may act on.
+            # The restored store has lost the lease of a home that may still
+            # act until that lease would have expired.
             forgotten_at = self._valid_until(self._store.timeline_since)
             gives_at = max(gives_at, forgotten_at)
         valid_until = self._valid_until(claim.sent_at)
@@ -300,12 +304,12 @@
         )
 
     def _valid_until(self, sent_at: float) -> float:
-        """Return until when a lease certainly lasts that was asked for."""
+        """Return until when a lease requested at a time is certainly valid."""
         return sent_at + self._lease_seconds - LEASE_MARGIN
 
     def _step_down(self, reason: str) -> None:
         tenure = self._state.tenure
         if tenure is None or tenure.resigned:
             return
-        logger.warning('This node is not the home any more: %s', reason)
+        logger.warning('This node is no longer the home: %s', reason)
         tenure.resign()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/lost_home.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/lost_home.py
@@ -1,4 +1,4 @@
-"""Find the next home after the last one was lost."""
+"""Reconnect to the last home while the store is unavailable."""
 
 from spanfall_node.gateway.links.succession_messages import HomeRecord
 from spanfall_node.gateway.store.sync import Sync
@@ -9,23 +9,25 @@
 
 
 class HomeReconnect:
-    """Hold the last home that answered."""
+    """Retry the last home that accepted a link."""
 
     def __init__(self, state: GatewayState, sync: Sync) -> None:
-        """Use the tables of the node, and its way to the store."""
+        """Use the state of the node and its sync with the store."""
         self.last_home: HomeRecord | None = None
         self._state = state
         self._sync = sync
         self._tried_at = float('-inf')
 
     def retry_last_home(self) -> None:
-        """Ask the last home for the next one, while the store is away.
+        """Link to the last home again while the store does not answer.
 
-        It may be back, or know its successor; nobody else is known here.
+        It may be reachable again or name its successor; this node has no
+        other address to try.
         """
         now = self._state.timers.now()
         is_due = now - self._tried_at >= LAST_HOME_RETRY_PERIOD
         if self.last_home is not None and is_due and not self._sync.hears_store:
             self._tried_at = now
-            # Nothing was heard of it yet: the look for another goes on.
+            # No answer was received yet, so the lookup of another home goes
+            # on.
             self._state.follow_home(self.last_home, float('-inf'))
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/new_tenure.py
@@ -1,4 +1,4 @@
-"""Begin this node's time as home, or go on with it under another record."""
+"""Begin this node's tenure as home, or continue it under another record."""
 
 import logging
 from dataclasses import replace
@@ -20,7 +20,7 @@
     valid_until: float,
     gives_at: float,
 ) -> None:
-    """Be the home from now on; give units from a later moment on."""
+    """Become the home now, and allocate units from ``gives_at`` on."""
     began_at = state.timers.now()
     state.fleet = FleetState(
         state.prompts.speeds,
@@ -46,7 +46,7 @@
 def continue_tenure(
     state: GatewayState, claim: Claim, valid_until: float
 ) -> None:
-    """Go on as the home, without a break, under a record just written."""
+    """Continue the tenure without a gap under a record just written."""
     state.tenure = replace(
         state.tenure,
         epoch=claim.epoch,
@@ -60,4 +60,4 @@
 
 def _record_own_home(state: GatewayState, claim: Claim) -> None:
     state.note_home(claim.home)
-    logger.info('This node is the home now, epoch %s', claim.epoch)
+    logger.info('This node is the home, epoch %s', claim.epoch)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/quarantine_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/quarantine_links.py
@@ -1,4 +1,4 @@
-"""Tell all entries of a quarantine at once, while this node is the home."""
+"""Broadcast new quarantines to all entries while this node is the home."""
 
 from websockets.asyncio.server import ServerConnection
 
@@ -8,28 +8,29 @@
 
 
 class QuarantineLinks:
-    """Hold the links of entries that hear of quarantines."""
+    """Hold the links of the entries that receive quarantines."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Use the tables of the node."""
+        """Use the state of the node."""
         self._state = state
         self._links: set[ServerConnection] = set()
 
     def add(self, link: ServerConnection) -> None:
-        """Note an entry that listens."""
+        """Add the link of an entry."""
         self._links.add(link)
 
     def remove(self, link: ServerConnection) -> None:
-        """Note that an entry's link has ended."""
+        """Remove the closed link of an entry."""
         self._links.discard(link)
 
     async def run(self) -> None:
-        """Tell of each quarantine as it begins, until cancelled."""
+        """Send each quarantine to all entries as it begins, until cancelled."""
         crashes = self._state.crashes
         changed = crashes.changed
         while True:
             await changed.wait()
-            # Before the sends, during which another one may begin.
+            # Fetched before the sends, as another quarantine may begin during
+            # them.
             changed = crashes.changed
             if self._state.tenure is not None:
                 now = self._state.timers.now()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/succession.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/succession.py
@@ -1,10 +1,11 @@
-"""Hand the home over to a node that reaches the store, while entries listen.
-
-A home that is cut off from the store cannot renew its record, and nobody may
-give units of limits until the record has ended and another node has found
-that: three to four seconds. Instead it asks some of its entries whether they
-reach the store; the first that does takes the record over at once, and all
-entries learn of it from the home before, also those that are cut off too.
+"""Hand the home over to an entry that reaches the store.
+
+A home that is cut off from the store cannot renew its lease. Without a
+handover no node may allocate units of limits until the lease has expired and
+another node has found the free record, which takes three to four seconds.
+Instead the home asks some of its entries whether they reach the store. The
+first that does takes over the record at once, and the old home announces it to
+all entries, including those that are cut off from the store themselves.
 """
 
 import logging
@@ -25,50 +26,51 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds between two looks at whether this node still is the home.
+#: Seconds between two checks whether this node is still the home.
 CHECK_PERIOD = 0.05
-#: Seconds between two rounds of questions while the store does not answer.
+#: Seconds between two rounds of messages while the store does not answer.
 ROUND_PERIOD = 0.3
-#: Entries that are asked or told in a round, those first whose hosts bear the
-#: home best: a few, so that they do not all call the store, and enough that
-#: one of them reaches it.
+#: Entries that are contacted in a round, those with the strongest hosts first.
+#: They are few, so that not all entries call the store at once, but enough
+#: that one of them is likely to reach it.
 ROUND_SIZE = 5
 
 
 class Succession:
-    """Tell the entries of a home who follows it."""
+    """Find a successor among the entries of a home and announce it."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Use the tables of the node."""
+        """Use the state of the node."""
         self._state = state
-        #: How well the host of each entry that listens could bear the home.
+        #: Strength of the host of each linked entry, in cores.
         self._links: dict[ServerConnection, float] = {}
         self._has_links = anyio.Event()
-        #: Entries that were asked or told in this matter, and when last.
+        #: Entries contacted in the current handover, and the time of the last
+        #: round.
         self._contacted: set[ServerConnection] = set()
         self._contacted_at = float('-inf')
-        #: The epoch that the entries know.
+        #: The epoch that was announced to the entries last.
         self._announced_epoch = 0
 
     def add(self, link: ServerConnection) -> None:
-        """Note an entry that listens."""
+        """Add the link of an entry."""
         self._links[link] = 0
         self._has_links.set()
 
     def set_strength(
         self, link: ServerConnection | None, strength: float
     ) -> None:
-        """Note how well the host of an entry that listens bears the home."""
+        """Set the strength of the host of a linked entry."""
         if link is not None and link in self._links:
             self._links[link] = strength
 
     def remove(self, link: ServerConnection) -> None:
-        """Note that an entry's link has ended."""
+        """Remove the closed link of an entry."""
         self._links.pop(link, None)
         self._contacted.discard(link)
 
     async def run(self) -> None:
-        """Tell entries what they have to know, until cancelled."""
+        """Send succession messages to entries until cancelled."""
         while True:
             await self._has_links.wait()
             await anyio.sleep(CHECK_PERIOD)
@@ -77,13 +79,16 @@
                 self._has_links = anyio.Event()
 
     def hand_over(self, epoch: int) -> ResignMessage | None:
-        """Act no more, since an entry can take over; return what to tell it."""
+        """Resign in favour of an entry; return the message to send it."""
         tenure = self._state.tenure
         if tenure is None or tenure.epoch != epoch:
             return None
         if not tenure.is_cut or tenure.resigned:
             return None
-        logger.warning('This node hands the home over: the store is away')
+        logger.warning(
+            'This node hands the home over to an entry: it cannot reach the '
+            'store',
+        )
         tenure.resign()
         self._begin_round()
         return ResignMessage(epoch)
@@ -100,7 +105,7 @@
             await self._announce_epoch(tenure.epoch)
 
     async def _announce_epoch(self, epoch: int) -> None:
-        """Tell the entries that this node goes on under another epoch."""
+        """Announce to the entries that this node continues in a new epoch."""
         announced = self._announced_epoch
         self._announced_epoch = epoch
         if announced and announced != epoch:
@@ -117,7 +122,7 @@
             await send_to_all(links, SuccessorMessage(home))
 
     async def _notify_next_round(self, message: msgspec.Struct) -> None:
-        """Ask or tell the strongest entries that were not yet, in rounds."""
+        """Contact the strongest entries not yet contacted, once per round."""
         now = self._state.timers.now()
         if now - self._contacted_at < ROUND_PERIOD:
             return
@@ -130,6 +135,6 @@
         await send_to_all(chosen, message)
 
     def _begin_round(self) -> None:
-        """Let whoever was told first act before others are told too."""
+        """Start a round, giving the entry told first time to act."""
         self._contacted_at = self._state.timers.now()
         self._contacted.clear()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
@@ -1,4 +1,4 @@
-"""Tell the home what upstreams say of themselves, as it is heard."""
+"""Forward the statements of upstreams to the home as they are received."""
 
 from websockets.asyncio.client import ClientConnection
 
@@ -8,7 +8,7 @@
 
 
 async def send_statements(state: GatewayState, link: ClientConnection) -> None:
-    """Tell a home all that is known here, then each new word at once."""
+    """Send a home all known statements, then each new one at once."""
     words = state.words
     now = state.timers.now()
     words.unsent = {}
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/totals.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/totals.py
@@ -1,4 +1,4 @@
-"""Follow the sums over the entries: those told, and those made as the home."""
+"""Apply the totals over the entries, received from the home or computed."""
 
 from spanfall_core.gateway.known.fleet import FleetTotals
 
@@ -10,14 +10,14 @@
     others: FleetTotals,
     now: float,
 ) -> None:
-    """Follow the sums over all other entries."""
+    """Apply the totals over all other entries."""
     state.loads.others_running = others.running
     state.loads.others_prefill = others.prefill
     state.loads.learn_failures(others.failed, now)
 
 
 def follow_own_table(state: GatewayState) -> None:
-    """Follow the table that this node itself makes as the home."""
+    """Apply to this node the data that it computes as the home."""
     now = state.timers.now()
     report = state.own_report()
     state.learn_report(report, now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/__init__.py
@@ -1,1 +1,1 @@
-"""Define what nodes send each other, and how questions are matched."""
+"""Define the messages between nodes and match requests to answers."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/crash_messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/crash_messages.py
@@ -1,4 +1,4 @@
-"""Define the messages that tell under which requests upstreams ended."""
+"""Define the messages about upstreams that crashed during requests."""
 
 from enum import StrEnum, unique
 
@@ -6,7 +6,7 @@
 from spanfall_core.gateway.known.identity import RequestIdentity
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Seconds for which requests are still not to be sent.
+#: Remaining seconds of quarantine by request, during which it is not sent.
 Quarantined = dict[RequestIdentity, float]
 
 
@@ -16,37 +16,38 @@
     omit_defaults=True,
     tag='crashes',
 ):
-    """Tell the home what an entry knows, all of it on a new link."""
+    """Report crashes to the home; on a new link, all that the entry has."""
 
-    #: Upstreams that ended, by the request that ran there.
+    #: Crashed upstreams by the request that was running there.
     ends: dict[RequestIdentity, tuple[Lifetime, ...]] = {}
     quarantined: Quarantined = {}
-    #: Whether the entry is to hear of all quarantined requests.
+    #: Whether the home is to answer with all quarantined requests.
     is_first: bool = False
-    #: Those that may have ended, and whether nobody answers there.
+    #: Upstreams that may have crashed, and whether no process answers at their
+    #: address.
     doubts: dict[RequestIdentity, dict[Lifetime, bool]] = {}
 
 
 @unique
 class RunStage(StrEnum):
-    """Name how far a watched run has come."""
+    """Name the progress of a watched run."""
 
-    #: Its answer has begun.
+    #: The answer has begun.
     BEGAN = 'began'
-    #: It ended, but its answer did not come whole and its upstream lives.
+    #: The run ended with an incomplete answer, but the upstream is alive.
     INCOMPLETE = 'over'
-    #: Its answer came whole.
+    #: The answer was received completely.
     COMPLETE = 'whole'
 
 
 class WatchedRun(msgspec.Struct, frozen=True, tag='watched-run'):
-    """Tell the home how far a request has come that it watches."""
+    """Report to the home the progress of a request that it watches."""
 
     identity: RequestIdentity
     stage: RunStage
 
 
 class QuarantineMessage(msgspec.Struct, frozen=True, tag='quarantine'):
-    """Tell an entry which requests are not sent any more."""
+    """Send an entry the requests that must not be sent to upstreams."""
 
     quarantined: Quarantined
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/link_sends.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/link_sends.py
@@ -1,4 +1,4 @@
-"""Send a message over many links, none of which holds up another."""
+"""Send a message over many links concurrently."""
 
 import logging
 from collections.abc import Iterable
@@ -12,7 +12,8 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds for one link: an entry that does not read is passed over.
+#: Timeout per link in seconds, after which an entry that does not read is
+#: skipped.
 SEND_TIMEOUT_SECONDS = 0.3
 
 
@@ -20,7 +21,7 @@
     links: Iterable[ServerConnection],
     message: msgspec.Struct,
 ) -> None:
-    """Send a message over links; a failure is logged and passed over."""
+    """Send a message over all links; failures are logged and skipped."""
     encoded = encode(message)
     async with anyio.create_task_group() as tasks:
         for link in links:
@@ -32,4 +33,4 @@
         with anyio.fail_after(SEND_TIMEOUT_SECONDS):
             await link.send(encoded)
     except (OSError, TimeoutError, WebSocketException) as exc:
-        logger.info('Could not tell an entry: %r', exc)
+        logger.info('Could not send a message to an entry: %r', exc)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -1,6 +1,7 @@
 """Define and encode the messages between an entry and the home (CBOR).
 
-Each message carries its kind, so that several may be under way on one link.
+Each message carries its type as a tag, so that several may be in flight on one
+link.
 """
 
 import cbor2
@@ -31,10 +32,11 @@
     StatementsReport,
 )
 
-#: Most bytes of one message.
+#: Maximum size of one message in bytes.
 MESSAGE_BYTES = 4_194_304
-#: Tables a second with sums over the entries, which are the largest part of
-#: a table: more would fill the link of a small host.
+#: Tables per second that contain totals over the entries. The totals are the
+#: largest part of a table, and more of them would fill the link of a small
+#: host.
 MAX_TOTALS_PER_SECOND = 80
 
 
@@ -44,40 +46,40 @@
     omit_defaults=True,
     tag='report',
 ):
-    """Carry the report of an entry and what it knows already."""
+    """Carry the report of an entry and the versions that it has."""
 
     report: EntryReport
     configuration_version: int = 0
-    #: Digest of the entry's table of upstreams.
+    #: Digest of the entry's directory of upstreams.
     upstreams_digest: int = 0
-    #: Revision of the listing that it knows.
+    #: Revision of the upstream listing that the entry has.
     upstreams_revision: int = 0
-    #: Whether the sums over the other entries are wanted.
+    #: Whether the totals over the other entries are requested.
     wants_totals: bool = True
     #: Number of the last grant that the report's counts include.
     seen: int = 0
-    #: How well the entry's host could bear the home, in cores.
+    #: Capacity of the entry's host to serve as home, in cores.
     strength: float = 0
-    #: Version of the home's words of upstreams that it knows.
+    #: Version of the home's upstream statements that the entry has.
     words_version: int = 0
 
 
 class LoadMessage(msgspec.Struct, frozen=True, tag='load'):
-    """Carry the counts of what an entry has running."""
+    """Carry the current load of an entry."""
 
     entry: str
     load: EntryLoad
 
 
 class GrantRequest(msgspec.Struct, frozen=True):
-    """Describe the request that an upstream is wanted for."""
+    """Describe a request that needs an upstream."""
 
     service: str
     ask: Ask
 
 
 class GrantRequestMessage(msgspec.Struct, frozen=True, tag='ask'):
-    """Ask which upstream is to serve a request."""
+    """Ask the home which upstream is to serve a request."""
 
     entry: str
     number: int
@@ -91,21 +93,21 @@
     omit_defaults=True,
     tag='grant',
 ):
-    """Answer a question; without a grant, no upstream serves.
+    """Answer a grant request; without a grant, no upstream is available.
 
-    Unless the request is free: then it may not be sent, or not now.
+    If the standing is not free, the request may not be sent, or not now.
     """
 
     number: int
     grant: Grant | None = None
     standing: Standing = Standing.FREE
-    #: Seconds after which an upstream has room that has none now by its own
-    #: limit; 0: none names one.
+    #: Seconds until an upstream that is at its own limit has capacity again;
+    #: 0 if no upstream states such a time.
     wait: float = 0
 
 
 class UnitsRequest(msgspec.Struct, frozen=True, tag='units-request'):
-    """Ask for units of a workspace that a request lacks at an entry."""
+    """Ask the home for units of a workspace that an entry lacks."""
 
     entry: str
     number: int
@@ -114,30 +116,30 @@
 
 
 class UnitsMessage(msgspec.Struct, frozen=True, tag='units'):
-    """Give an entry units of a workspace besides those of its table."""
+    """Grant an entry units of a workspace in addition to its table's."""
 
     number: int
     workspace: str
-    #: 0: the home has none now.
+    #: 0 if the home has none available.
     units: float = 0
 
 
 class ConfigurationPart(msgspec.Struct, frozen=True):
-    """Carry a configuration, packed as it is passed on."""
+    """Carry a compressed configuration."""
 
     version: int
     packed: bytes
 
 
 class UpstreamsPart(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Carry a listing of upstreams, or what of it has changed."""
+    """Carry a listing of upstreams, or its changes."""
 
     revision: int
     rows: tuple[ListedUpstream, ...]
     removed: tuple[str, ...] = ()
-    #: Whether the entry keeps the other rows that it knows.
+    #: Whether this is a delta, so that the entry keeps its other rows.
     is_change: bool = False
-    #: Digest of the home's rows.
+    #: Digest of all rows of the home.
     digest: int = 0
 
 
@@ -150,23 +152,26 @@
     """Carry the home's table to one entry."""
 
     epoch: int
-    #: Version of the configuration that the home has in force.
+    #: Version of the configuration in force at the home.
     configuration_version: int
-    #: Seconds since that was last proved the newest.
+    #: Seconds since this version was last confirmed to be the newest.
     proof_age: float
-    #: Seconds since the home began its last read of the upstreams.
+    #: Seconds since the start of the home's last read of the upstreams.
     upstreams_age: float
     true_time: float
-    #: Entries of the fleet, and seconds until the next report of this one.
+    #: Number of entries in the fleet, and seconds until this entry's next
+    #: report.
     entries: int = 1
     report_after: float = REPORT_PERIOD
-    #: Sums over the other entries, for one that has to decide alone.
+    #: Totals over the other entries, for an entry that has to decide without
+    #: the home.
     totals: FleetTotals | None = None
-    #: How fast the engines of each service read.
+    #: Prefill speed of the engines of each service.
     speeds: dict[str, ReadingSpeed] = {}
-    #: Upstreams that each service needs, for a home that follows this one.
+    #: Upstreams that each service needs, for the next home.
     needs: dict[str, float] = {}
-    #: Units that this entry may spend; None: the sender may not give any.
+    #: Units that this entry may spend; None if the sender may not allocate
+    #: any.
     given: GivenUnits | None = None
     #: Whether the entry should look for another home.
     resigned: bool = False
@@ -176,16 +181,16 @@
 
 
 def totals_period(entries: int) -> float:
-    """Return the seconds after which an entry wants new sums."""
+    """Return the seconds after which an entry requests new totals."""
     return entries / MAX_TOTALS_PER_SECOND
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """Return the bytes of a message."""
+    """Return the CBOR encoding of a message."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-#: What bytes that no node has sent may raise.
+#: Exceptions that decoding of arbitrary bytes may raise.
 DECODE_ERRORS = (
     cbor2.CBORDecodeError,
     ArithmeticError,
@@ -219,19 +224,19 @@
 
 
 def decode_from_entry(data: bytes) -> FromEntry:
-    """Read a message of an entry.
+    """Decode a message of an entry.
 
     Raises:
-        ValueError: the bytes are no such message.
+        ValueError: the bytes are not a valid message.
     """
     return msgspec.convert(_decode_cbor(data), FromEntry)
 
 
 def decode_from_home(data: bytes) -> FromHome:
-    """Read a message of the home.
+    """Decode a message of the home.
 
     Raises:
-        ValueError: the bytes are no such message.
+        ValueError: the bytes are not a valid message.
     """
     return msgspec.convert(_decode_cbor(data), FromHome)
 
@@ -240,4 +245,4 @@
     try:
         return cbor2.loads(data)
     except DECODE_ERRORS as exc:
-        raise ValueError(f'not CBOR: {exc!r}') from exc
+        raise ValueError(f'invalid CBOR: {exc!r}') from exc
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/passing_on.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/passing_on.py
@@ -1,8 +1,8 @@
-"""Pass the configuration on to the entries without filling the home's link.
+"""Send the configuration to the entries without saturating the home's link.
 
-A configuration of 1,400 routes has half a megabyte; sent as it is to 195
-entries it takes a link of 100 Mbit/s for eight seconds, in which the home's
-answers wait behind it and all entries lose the home.
+A configuration of 1,400 routes has half a megabyte. Sent uncompressed to 195
+entries it would occupy a link of 100 Mbit/s for eight seconds. The home's
+answers would queue behind it, and all entries would lose the home.
 """
 
 import zlib
@@ -10,15 +10,15 @@
 
 from spanfall_node.gateway.links.messages import ConfigurationPart
 
-#: Level of compression: the fastest one makes a thirtieth of such a
-#: configuration in half a millisecond.
+#: zlib compression level. The fastest level reduces such a configuration to a
+#: thirtieth in half a millisecond.
 COMPRESSION_LEVEL = 1
-#: Most bytes of a configuration that a message may hold, once unpacked.
+#: Maximum size of a decompressed configuration in bytes.
 MAX_UNPACKED_BYTES = 16_777_216
-#: Part of the home's link that configurations may take.
+#: Fraction of the home's link that configurations may use.
 LINK_FRACTION = 0.25
-#: Seconds of that part that may be taken in advance. An entry that gets
-#: nothing reads the store itself, or gets it with its next table.
+#: Seconds of that rate that may be sent in advance. An entry that receives no
+#: configuration reads the store itself, or receives it with its next table.
 BURST_SECONDS = 0.3
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1_000_000
@@ -26,12 +26,12 @@
 
 @dataclass(slots=True)
 class ConfigurationSender:
-    """Hold the configuration as it is sent, and how busy the link is."""
+    """Hold the compressed configuration and limit its use of the link."""
 
     link_megabits: float
     _version: int = 0
     _packed: bytes = b''
-    #: When all that was sent so far has left, at the pace allowed.
+    #: When all data sent so far has left, at the allowed rate.
     _sent_until: float = float('-inf')
 
     def part(
@@ -40,9 +40,9 @@
         source: bytes,
         now: float,
     ) -> ConfigurationPart | None:
-        """Return the configuration for one more entry, unless it is too soon.
+        """Return the configuration for an entry, or None over the rate limit.
 
-        ``source`` is the configuration as the store holds it.
+        ``source`` is the configuration as stored.
         """
         if now + BURST_SECONDS < self._sent_until:
             return None
@@ -61,10 +61,10 @@
 
 
 def unpack(part: ConfigurationPart) -> bytes:
-    """Return the configuration as the store holds it.
+    """Return the configuration as stored.
 
     Raises:
-        ValueError: this is none, or too large.
+        ValueError: the data is invalid, truncated or too large.
     """
     reader = zlib.decompressobj()
     try:
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/questions.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/questions.py
@@ -1,4 +1,4 @@
-"""Ask the home over the link, and wait a bounded time for its answer."""
+"""Send requests to the home and wait a bounded time for the answers."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -14,48 +14,48 @@
 
 @dataclass(slots=True)
 class PendingRequest(Generic[Answer]):
-    """Wait for the answer to one question."""
+    """Hold the state of one request to the home."""
 
     answered: anyio.Event = field(default_factory=anyio.Event)
     answer: Answer | None = None
 
     @property
     def is_answered(self) -> bool:
-        """Tell whether the home answered, or can do so no more."""
+        """Tell whether the home has answered, or the link has ended."""
         return self.answered.is_set()
 
 
 @dataclass(slots=True)
 class PendingRequests(Generic[Answer]):
-    """Hold the questions of one kind that wait, by their numbers."""
+    """Hold the pending requests of one type, by their numbers."""
 
     _send: Send | None = None
     _pending: dict[int, PendingRequest[Answer]] = field(default_factory=dict)
-    #: Number of the last question.
+    #: Number of the last request.
     _last: int = 0
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether there is a home to ask."""
+        """Tell whether there is a link to the home."""
         return self._send is not None
 
     @property
     def last_settled(self) -> int:
-        """Return the number up to which no question waits."""
+        """Return the number up to which no request is pending."""
         return min(self._pending, default=self._last + 1) - 1
 
     def connect(self, send: Send) -> None:
-        """Ask over this link from now on."""
+        """Send requests over this link from now on."""
         self._send = send
 
     def disconnect(self) -> None:
-        """End all waits; there is nobody to ask until the next link."""
+        """End all waits; no requests are sent until the next link."""
         self._send = None
         for pending in self._pending.values():
             pending.answered.set()
 
     def resolve(self, number: int, answer: Answer | None) -> None:
-        """Take the home's answer; one that comes too late is not used."""
+        """Store the home's answer; one that arrives too late is ignored."""
         pending = self._pending.get(number)
         if pending is not None:
             pending.answer = answer
@@ -66,7 +66,7 @@
         make_message: Callable[[int], msgspec.Struct],
         seconds: float,
     ) -> PendingRequest[Answer]:
-        """Send the message of the next number and wait for its answer."""
+        """Send a message with the next number and wait for its answer."""
         number = self._last + 1
         question: PendingRequest[Answer] = PendingRequest()
         if self._send is None:
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
@@ -1,18 +1,18 @@
-"""Define the messages that tell what upstreams say of themselves."""
+"""Define the messages that carry the statements of upstreams."""
 
 import msgspec
 from spanfall_core.gateway.known.statements import Words
 
 
 class StatementsReport(msgspec.Struct, frozen=True, tag='words'):
-    """Tell the home what an entry heard, all that it knows on a new link."""
+    """Send the home new statements; on a new link, all that an entry has."""
 
     words: Words
 
 
 class StatementsPart(msgspec.Struct, frozen=True):
-    """Tell an entry what has changed since the version that it knows."""
+    """Send an entry the statements changed since the version that it has."""
 
-    #: Version of the home's table with these words.
+    #: Version of the home's table that includes these statements.
     version: int
     words: Words
