--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -157,9 +157,9 @@
         try:
             await task(link)
         except TimeoutError as exc:
-            self._mark_home_lost(f'answer timed out: {exc!r}')
+            self._mark_home_lost(f'no answer: {exc!r}')
         except (OSError, WebSocketException) as exc:
-            self._mark_home_lost(f'link closed: {exc!r}')
+            self._mark_home_lost(f'the link ended: {exc!r}')
         except ValueError:
             logger.exception(
                 'The home sent an invalid message; check its version',
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -1,4 +1,4 @@
-"""One node is the home; entries follow it, and its end hurts nobody."""
+"""Test the election of the home and how entries follow and replace it."""
 
 import json
 
@@ -38,7 +38,7 @@
 
 
 async def two_gateways(world):
-    """Start two gateways; return the home and the other."""
+    """Start two gateways and return the home and the other node."""
     first = await world.add_gateway()
     second = await world.add_gateway()
     await wait_until(lambda: home_of(first, second) is not None)
@@ -82,7 +82,7 @@
 
 @in_world
 async def test_a_failing_store_is_probed_by_one_call(world):
-    """Listings wait until one call has told that the store is back."""
+    """Listings are suspended until a single call finds the store available."""
     state = await world.add_gateway()
     world.store.failing = 503
     await wait_until(lambda: not state.is_ready(state.timers.now()))
@@ -126,7 +126,7 @@
 
 @in_world
 async def test_an_entry_receives_a_configuration_change(world):
-    """The home reads the store for all, and vouches for what it read."""
+    """Entries use the configuration that the home reads and confirms."""
     _, other = await two_gateways(world)
     version = world.configure(body_bytes=10)
     await wait_until(lambda: other.version == version)
@@ -135,7 +135,10 @@
 
 @in_world
 async def test_an_entry_reads_a_listing_that_the_home_cannot(world):
-    """The home's configuration is new, its list of upstreams is not."""
+    """Guard against a stale upstream list of a home with a new configuration.
+
+    The entry must then read the listing from the store itself.
+    """
     home, other = await two_gateways(world)
     upstream = await world.add_upstream(whole())
     await wait_until(lambda: upstream.lifetime in other.directory.rows)
@@ -148,14 +151,15 @@
 
 @in_world
 async def test_a_home_that_resigns_is_followed(world):
-    """Entries keep what the old home said until the new one speaks."""
+    """Entries keep the old home's table until the new home sends one."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     await world.add_upstream(whole())
     home, other = await two_gateways(world)
     await ask(other, '/keyed/7', authorization='Key k')
     await wait_until(lambda: bool(other.report().spending.levels))
     home.draining_since = home.timers.now()
-    # A claim that lost leaves a lease of its own, which nobody holds.
+    # A lost claim leaves an unused lease of its own, so check only the
+    # home's lease.
     lease = home.tenure.lease
     await Leadership(home, _LeaseRevoker(world), None).resign()
     assert not home.is_home(home.timers.now())
@@ -168,9 +172,10 @@
 
 @in_world
 async def test_a_farewell_names_the_newer_home(world):
-    """Cut off from the store it could not read the new record.
+    """Guard against a home that misses its successor during a store outage.
 
-    Its counts of usage and its callers were lost until the store was back.
+    Cut off from the store it cannot read the new record. Without the farewell
+    its usage counts and its callers were lost until the store was back.
     """
     world.configure()
     home, other = await two_gateways(world)
@@ -190,7 +195,7 @@
 
 
 class _LeaseRevoker:
-    """End leases of the stand-in store directly."""
+    """Revoke leases of the stand-in store directly."""
 
     def __init__(self, world):
         self._world = world
@@ -201,7 +206,7 @@
 
 @in_world
 async def test_a_lost_lease_ends_a_tenure(world):
-    """A home whose lease ended acts no more, and one is found again."""
+    """A home whose lease has expired stops acting, and a home is elected."""
     home, other = await two_gateways(world)
     ended = home.tenure
     for lease in list(world.store.leases):
@@ -214,7 +219,7 @@
 
 @in_world
 async def test_a_restarted_home_takes_over_at_once(world):
-    """The record of its own earlier run need not run out."""
+    """It does not wait for the lease of its own earlier run to expire."""
     record = {'node': 'node-1', 'address': '127.0.0.1:1', 'incarnation': 'old'}
     world.store.leases[7] = (1000, 0)
     old = world.store.put(home_key(0), json.dumps(record), 7)
@@ -232,7 +237,7 @@
 
 @in_world
 async def test_a_lost_answer_to_the_claim_is_resolved(world):
-    """The record may be ours though no answer came; only its lease tells."""
+    """A claim without an answer may be written; the lease identifies it."""
     world.store.loses_answers = True
     state = await world.add_unready_gateway()
     await wait_until(lambda: len(world.store.leases) > 0)
@@ -251,7 +256,10 @@
 
 @in_world
 async def test_an_entry_that_starts_reads_no_listing(world):
-    """The home tells all; hundreds of restarts cost the store one look each."""
+    """The home sends all tables, so a restart costs the store one call.
+
+    Without this, hundreds of restarting entries would each read the listing.
+    """
     world.configure()
     await world.add_upstream(whole())
     home = await world.add_gateway()
@@ -266,7 +274,7 @@
 
 @in_world
 async def test_entries_are_current_without_a_configuration(world):
-    """Until the operator has written one, only the home asks for it."""
+    """Until a configuration is written, only the home looks it up."""
     world.store.remove(CONFIGURATION_KEY)
     home = await world.add_unready_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
@@ -281,7 +289,7 @@
 
 @in_world
 async def test_a_starting_home_reads_the_configuration_at_once(world):
-    """After a restart of all, every other node waits for its table."""
+    """After a restart of the fleet all other nodes wait for its table."""
     state = await world.add_unready_gateway()
     await wait_until(lambda: state.tenure is not None)
     began_at = state.tenure.began_at
--- a/tests/test_gateway_home_restore.py
+++ b/tests/test_gateway_home_restore.py
@@ -1,4 +1,4 @@
-"""The home, its lease and its fencing token when the store is restored."""
+"""Test the home, its lease and its fencing token across store restores."""
 
 from unittest.mock import patch
 
@@ -26,22 +26,22 @@
 from test_gateway_succession import ending_gateway, is_home
 from test_gateway_unit_requests import recorded
 
-#: Seconds from asking for a lease for which its holder acts.
+#: Seconds after requesting a lease for which its holder acts.
 LEASE_VALID_SECONDS = 2.0
-#: Seconds within which the home has written its records again.
+#: Seconds within which the home must write its records again.
 REWRITE_TIMEOUT_SECONDS = 10.0
-#: Seconds in which no test ends.
+#: Seconds longer than any test runs.
 VERY_LONG_SECONDS = 1e9
 
 
 def follows(entry, home):
-    """Tell whether an entry knows a home by its present record."""
+    """Tell whether an entry follows a home in its current epoch."""
     epoch = home.tenure.epoch
     return entry.home is not None and entry.home.epoch == epoch
 
 
-# Guards against entries that take the next home for an earlier one, and
-# against a fencing token that goes back.
+# Guards against entries that take the home's new record for an older one, and
+# against a fencing token that decreases.
 @in_world
 async def test_the_home_stays_home_after_a_restore(world):
     copy = world.store.copy()
@@ -57,7 +57,8 @@
     await wait_until(lambda: other.home_heard_at > home.tenure.renewed_at)
 
 
-# Guards against a lease that another holds by the same number.
+# Guards against the use of a lease number from before the restore, which the
+# restored store may have granted to another node.
 @in_world
 async def test_a_lease_from_before_a_restore_is_replaced(world):
     home, other = await two_gateways(world)
@@ -71,7 +72,8 @@
     await wait_until(lambda: follows(other, home))
 
 
-# Guards against a home that goes on where another holds the next record.
+# Guards against a home that continues although another node holds the record
+# of the next timeline.
 @in_world
 async def test_a_home_steps_down_for_another_after_a_restore(world):
     home, other = await two_gateways(world)
@@ -88,8 +90,8 @@
     assert world.store.items[home_key(1)].content == record
 
 
-# Guards against two homes that give the same units: the store has forgotten
-# the lease of the first, which may act until that has ended.
+# Guards against two homes that allocate the same units: the restored store has
+# lost the lease of the first home, which may act until that lease expires.
 @in_world
 async def test_a_new_home_delays_allocation_after_a_restore(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
@@ -111,7 +113,7 @@
     assert home_of(other) is other
 
 
-# Guards against conditions on a revision that is given out again.
+# Guards against conditions that match a revision reused after a restore.
 @in_world
 async def test_conditions_from_before_a_restore_fail(world):
     async with store_client(world) as store:
@@ -132,7 +134,7 @@
         assert 'b' not in world.store.items
 
 
-# Guards against records that the home takes for written, though a restore
+# Guards against records that the home assumes are written although a restore
 # has lost them.
 @in_world
 async def test_records_lost_in_a_restore_are_written_again(world):
@@ -150,8 +152,8 @@
         await wait_until(lambda: written <= world.store.items.keys())
 
 
-# Guards against an old record of spending that stays, since the home knows
-# that it has written a later one.
+# Guards against an old spending record that a restore brings back and that
+# stays because the home has already written a later one.
 @in_world
 async def test_a_restored_old_spending_record_is_replaced(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
@@ -165,7 +167,8 @@
         await wait_until(lambda: not recorded(world))
 
 
-# Guards against orders of upstreams made anew, as if another home followed.
+# Guards against orders of upstreams that are reset by a restore, as by a
+# change of the home.
 @in_world
 async def test_orders_are_kept_across_a_restore(world):
     home = await world.add_gateway()
@@ -180,7 +183,8 @@
     assert duty._orders_of(SERVICE, home.timers.now()) is orders
 
 
-# Guards against another home after each restore, which knows less.
+# Guards against a change of the home after each restore: the new home would
+# have less information.
 @in_world
 async def test_a_home_that_lost_its_lease_claims_again_after_a_restore(world):
     home = await world.add_gateway()
@@ -197,7 +201,7 @@
 
 
 # Guards against a record that the home wrote for the next timeline just after
-# it had handed over, and that nobody holds until its lease ends.
+# its handover: no node would be the home until that record's lease expires.
 @in_world
 async def test_a_home_that_hands_over_in_a_restore(world):
     home, other = await two_gateways(world)
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -1,4 +1,4 @@
-"""Read messages between nodes, or say that they are none."""
+"""Test that messages between nodes are decoded, and invalid ones refused."""
 
 import cbor2
 import pytest
@@ -100,7 +100,7 @@
 
 
 def decode_or_refuse(decoder, data):
-    """Read bytes; any other end than a message or ValueError is a fault."""
+    """Decode bytes; any exception other than ValueError fails the test."""
     try:
         return decoder(data)
     except ValueError:
--- a/tests/test_gateway_passing_on.py
+++ b/tests/test_gateway_passing_on.py
@@ -1,7 +1,7 @@
-"""Pass a large configuration on to hundreds of entries.
+"""Test that a large configuration reaches hundreds of entries.
 
-The load is that of an operator who adds 1,400 routes while 231 entries
-report: each is told within a period of reports, over a small host's link.
+An operator adds 1,400 routes while 231 entries report. Each entry must receive
+the configuration within a report period over a small host's link.
 """
 
 import json
@@ -20,7 +20,7 @@
 )
 
 ENTRIES = 231
-#: Seconds within which a new version is due, less the home's own read.
+#: Seconds within which a new version must arrive, less the home's own read.
 DUE_SECONDS = 3.0
 SOURCE = json.dumps(
     [
@@ -38,7 +38,10 @@
 
 
 def distribute(megabits, seconds):
-    """Let all entries report; return when each was told, and the bytes."""
+    """Simulate reports of all entries.
+
+    Return when each entry received the configuration, and the bytes sent.
+    """
     home = ConfigurationSender(megabits)
     period = report_period(ENTRIES)
     received_at = {}
--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -1,8 +1,8 @@
-"""Play drawn courses of a store that comes back from copies.
+"""Test random sequences of outages and restores of the store.
 
-The store goes away and comes back from a copy up to some seconds old, changes
-are made before and after, one upstream leaves, the home ends; what was lost is
-written again. CI plays one seed; more by hand:
+The store fails and is restored from a copy that is up to some seconds old.
+The configuration changes before and after, one upstream leaves, and the home
+is stopped; lost records are written again. CI runs one seed; run more with:
 
     SPANFALL_SEEDS=20 .venv/bin/pytest tests/test_gateway_restore_courses.py
 """
@@ -29,13 +29,14 @@
 SECONDS = 12.0
 ENTRIES = 3
 UPSTREAMS = 3
-#: Seconds between two copies, and copies that are kept.
+#: Seconds between two copies, and the number of copies that are kept.
 COPY_PERIOD = 0.5
 COPIES = 8
-#: Writes of others between two copies, so that revisions go far back.
+#: Foreign writes between two copies, so that a restore lowers the revision
+#: considerably.
 FOREIGN_WRITES = 100
 MAX_OUTAGE_SECONDS = 3.0
-#: Seconds after a restore within which what was lost is written again.
+#: Maximum seconds after a restore until lost records are written again.
 MAX_REWRITE_DELAY = 1.0
 OBSERVE_PERIOD = 0.02
 PAUSE = 0.05
@@ -48,18 +49,18 @@
 
 
 def entry_key(upstream):
-    """Return the key of an upstream's entry."""
+    """Return the store key of an upstream's entry."""
     return f'{UPSTREAM_PREFIX}{upstream.lifetime}'
 
 
 def may_give(state):
-    """Tell whether a node may give units of limits."""
+    """Tell whether a node may allocate units of limits."""
     now = state.timers.now()
     return state.tenure is not None and state.tenure.may_give(now)
 
 
 class RestoreScenario:
-    """Hold a fleet, and what the operator and the upstreams wrote."""
+    """Hold a fleet and the records that operator and upstreams wrote."""
 
     def __init__(self, world, rng):
         self.world = world
@@ -68,10 +69,12 @@
         self.upstreams = []
         self.leaving_upstream = None
         self.statuses = set()
-        #: Versions that came into force at each node, and most givers seen.
+        #: Versions in force at each node in order, and the largest number of
+        #: nodes that could allocate units at the same time.
         self.versions = {}
         self.max_allocators = 0
-        #: Nodes that knew that the leaver leaves, and those that forgot it.
+        #: Nodes that had excluded the leaving upstream, and those that used it
+        #: again later.
         self.informed = set()
         self.forgot = set()
         self.written = {}
@@ -92,7 +95,7 @@
             self.record_written(key)
 
     def record_written(self, key):
-        """Note what the operator or an upstream has just written."""
+        """Record what the operator or an upstream has just written."""
         self.written[key] = self.world.store.items[key].content
 
     async def observe(self, until):
@@ -171,7 +174,7 @@
             store.failing = self.rng.choice((0, 503))
             await anyio.sleep(self.rng.uniform(0, MAX_OUTAGE_SECONDS))
             store.restore(self.rng.choice(self.copies))
-            # Only copies of the new timeline are made from now on.
+            # From now on only copies of the new timeline are used.
             self.copies.clear()
             self.copies.append(store.copy())
             store.failing = 0
@@ -179,21 +182,21 @@
             self.rewrite_lost()
 
     def rewrite_lost(self):
-        """Write what the restored store does not hold any more."""
+        """Write again the records that the restored store has lost."""
         store = self.world.store
         for key, content in self.written.items():
             if key not in store.items or store.items[key].content != content:
                 store.put(key, content)
 
     def serving(self):
-        """Return the upstreams that each node sends to."""
+        """Return the serving upstreams of each node."""
         return [
             {row.lifetime for row in state.directory.serving(SERVICE)}
             for state in self.gateways
         ]
 
     def all_have(self, version, upstreams):
-        """Tell whether all nodes know what was written last."""
+        """Tell whether all nodes have the version and upstreams given."""
         versions = {state.version for state in self.gateways}
         return versions == {version} and all(
             row == upstreams for row in self.serving()
@@ -228,7 +231,7 @@
 
 
 async def run_scenario(scenario, world):
-    """Play a course; in the end all nodes know what was written last."""
+    """Run a scenario until all nodes have the records written last."""
     until = anyio.current_time() + SECONDS
     parts = (
         scenario.observe,
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -1,7 +1,8 @@
-"""A home that is cut off is followed before its lease has ended.
+"""Test that a home cut off from the store hands over before its lease expires.
 
-The record of a home lasts for seconds after its last renewal. Meanwhile
-nobody may give units of limits, and entries hold a two hundredth of them.
+The record of a home stays valid for seconds after its last renewal. Until then
+no other node may allocate units of limits, and the entries hold only a two
+hundredth of them.
 """
 
 import select
@@ -25,12 +26,12 @@
 from spanfall_standins.gateway.server import answer_bytes, start_server
 from support import wait_until
 
-#: A lease that outlasts any test.
+#: Seconds of a lease that outlasts any test.
 LONG_LEASE_SECONDS = 120
 
 
 class StoreGate:
-    """Let calls through to the store, or turn them away."""
+    """Forward calls to the store, or answer them with 503."""
 
     def __init__(self, store):
         self.is_closed = False
@@ -44,7 +45,7 @@
 
 
 async def add_gated_gateway(world, store_gate, **settings):
-    """Start a gateway whose way to the store can be shut."""
+    """Start a gateway whose connection to the store can be closed."""
     usual = world.store_address
     world.store_address = await start_server(world.tasks, store_gate.answer)
     state = await world.add_gateway(**settings)
@@ -54,7 +55,7 @@
 
 @asynccontextmanager
 async def ending_gateway(world, **bounds):
-    """Start a gateway whose process can be ended without a word."""
+    """Start a gateway that can be stopped abruptly, as by a crash."""
     usual = world.tasks
     async with anyio.create_task_group() as tasks:
         world.tasks = tasks
@@ -86,7 +87,7 @@
 
 @in_world
 async def test_entries_without_the_store_follow(world):
-    """They hear from the home before which node is the next."""
+    """Entries cut off from the store learn the new home from the old one."""
     store_gate = StoreGate(world.store)
     home = await add_gated_gateway(world, store_gate)
     await wait_until(lambda: is_home(home))
@@ -104,7 +105,7 @@
 
 @in_world
 async def test_the_home_stays_while_the_store_is_down_for_all(world):
-    """While it is away for all, the home stays what it is."""
+    """If no node reaches the store, the home does not resign."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     other = await world.add_gateway()
@@ -121,10 +122,11 @@
 
 @in_world
 async def test_a_restarted_fleet_allocates_units_at_once(world):
-    """All processes ended; the record of the home is still there.
+    """Guard against refusals after all processes were restarted.
 
-    Another node that took it found nothing listening at its address, and gave
-    no units for two seconds: a hundred requests were refused.
+    The record of the old home is still in the store. A node that followed it
+    found nothing listening at its address, and no units were allocated for two
+    seconds: a hundred requests were refused.
     """
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     cfg = None
@@ -143,7 +145,7 @@
 
 @in_world
 async def test_a_record_that_cannot_be_read_is_replaced(world):
-    """Units are given once its holder, if there is one, acts no more."""
+    """Units are allocated only once a possible holder has stopped acting."""
     world.store.put(home_key(0), 'no record')
     state = await world.add_unready_gateway()
     await wait_until(lambda: is_home(state))
@@ -153,7 +155,7 @@
 
 
 class SlowStore:
-    """Answer a renewal after the home has handed over."""
+    """Answer a renewal only after the home has handed over."""
 
     def __init__(self, home):
         self._home = home
@@ -165,7 +167,7 @@
 
 
 class RecordingLink:
-    """Keep what a home sends to one entry."""
+    """Record the messages that a home sends to one entry."""
 
     def __init__(self):
         self.got = []
@@ -176,7 +178,10 @@
 
 @in_world
 async def test_the_strongest_hosts_are_asked_first(world):
-    """A home on a small host was late for seconds at 195 entries."""
+    """Guard against a home on a small host, which lags with many entries.
+
+    With 195 entries it was late for seconds.
+    """
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     home.tenure.is_cut = True
@@ -192,7 +197,7 @@
 
 @in_world
 async def test_more_entries_are_notified_if_the_first_do_not_act(world):
-    """The first to be told may be cut off itself, or lose its answers."""
+    """The first entries may be cut off themselves, or lose their answers."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     home.tenure.is_cut = True
@@ -225,7 +230,7 @@
 
 @in_world
 async def test_hundreds_of_links_may_open_at_once(world):
-    """The home is busy while the entries of a large fleet find it."""
+    """The home is busy while all entries of a large fleet connect to it."""
     home = await world.add_gateway()
     host, _, port = home.cfg.listen.links.rpartition(':')
     links = []
@@ -234,7 +239,7 @@
         link.setblocking(False)  # noqa: FBT003
         link.connect_ex((host, int(port)))
         links.append(link)
-    # Nothing was accepted yet: this task has not let the home run.
+    # No link was accepted yet, since this task has not yielded to the home.
     _, connected, _ = select.select([], links, [], 0.5)
     for link in links:
         link.close()
@@ -243,7 +248,11 @@
 
 @in_world
 async def test_a_renewal_under_way_does_not_undo_a_handover(world):
-    """The home handed over while it waited: two would give units."""
+    """Guard against two allocating homes.
+
+    The home hands over while its renewal is pending; the renewal's answer must
+    not extend its tenure.
+    """
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     tenure = home.tenure
@@ -253,7 +262,10 @@
 
 @in_world
 async def test_an_entry_drops_a_home_that_closes_its_link(world):
-    """An entry that took it for one went on with a home that was no more."""
+    """Guard against an entry that follows a home that has stepped down.
+
+    The home closes the link normally, which is not an error of the link.
+    """
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     entry = await world.add_gateway()
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -1,8 +1,8 @@
-"""Count the time for which a host is suspended in every age.
+"""Test that the time for which a host is suspended counts in every age.
 
-Seen in the code, not on a day: the gateway and its event loop read a clock
-that stands still while the host is suspended, so a lease, a proof of freshness
-or a deadline looks younger than it is by that time.
+If the gateway and its event loop read a clock that stops while the host is
+suspended, a lease, a proof of freshness or a deadline appears younger than it
+is by that time.
 """
 
 import time
@@ -13,13 +13,13 @@
 from spanfall_node.gateway import program
 
 SUSPENDED_SECONDS = 10.0
-#: Seconds of a scope that was entered before the suspension.
+#: Timeout in seconds of a cancel scope entered before the suspension.
 SCOPE_SECONDS = 5.0
 
 
 @pytest.fixture(name='suspend')
 def suspend_host(monkeypatch):
-    """Let the clocks that count a suspension go on, and no other."""
+    """Advance the clocks that count a suspension, and no others."""
     skipped_seconds = []
     read = time.clock_gettime
 
