--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -46,7 +46,7 @@
     updated_at: float = 0
 
     def update(self, totals: Counts, now: float) -> None:
-        """Add new totals to the exponentially smoothed rates."""
+        """Update the exponentially smoothed rates from new totals."""
         elapsed = now - self.updated_at
         for service, total in totals.items():
             previous = self.totals.get(service, total)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -53,8 +53,8 @@
 #: Timeout of a renewal in seconds. It is short so that a home that cannot
 #: reach the store hands over while its lease is still valid.
 RENEW_TIMEOUT_SECONDS = 0.3
-#: Seconds since the last renewal after which a failed one means that the home
-#: is cut off from the store. A single lost answer does not.
+#: Seconds since the last renewal after which a failed renewal means that the
+#: home is cut off from the store. A single lost answer does not.
 CUT_OFF_SECONDS = 0.85
 #: Seconds until the next renewal after a failed one.
 RETRY_PERIOD = 0.1
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -53,14 +53,14 @@
     return holders[0] if len(holders) == 1 else None
 
 
-def test_a_large_fleet_reports_more_rarely():
+def test_a_large_fleet_reports_less_often():
     periods = [report_period(entries) for entries in (1, 50, 100, 570)]
     assert periods == [0.25, 0.25, 0.5, 2.85]
     ages = [round(old_proof(entries), 2) for entries in (1, 50, 100, 570)]
     assert ages == [1.1, 1.1, 1.35, 3.7]
 
 
-def test_a_large_fleet_reads_more_rarely():
+def test_a_large_fleet_reads_less_often():
     entries = (1, 9, 50, 87, 570)
     reads = [
         read_period(count, is_home=False, failing=False) for count in entries
@@ -93,7 +93,7 @@
     await wait_until(lambda: world.store.listings > listed)
 
 
-def test_small_hosts_leave_the_home_to_others():
+def test_small_hosts_defer_to_others():
     hosts = [
         Host(),
         Host(processor_part=0.5, processor_speed=2, link_megabits=100),
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -86,7 +86,7 @@
 
 
 @in_world
-async def test_entries_without_the_store_follow(world):
+async def test_entries_cut_off_from_the_store_follow(world):
     """Entries cut off from the store learn the new home from the old one."""
     store_gate = StoreGate(world.store)
     home = await add_gated_gateway(world, store_gate)
@@ -177,7 +177,7 @@
 
 
 @in_world
-async def test_the_strongest_hosts_are_asked_first(world):
+async def test_the_strongest_hosts_are_contacted_first(world):
     """Guard against a home on a small host, which lags with many entries.
 
     With 195 entries it was late for seconds.
@@ -191,8 +191,8 @@
         succession.add(entry)
         succession.set_strength(entry, cores)
     await succession._notify(home.tenure)
-    asked = [at for at, row in enumerate(entries) if row.got]
-    assert asked == list(range(2 * ROUND_SIZE, 3 * ROUND_SIZE))
+    contacted = [at for at, row in enumerate(entries) if row.got]
+    assert contacted == list(range(2 * ROUND_SIZE, 3 * ROUND_SIZE))
 
 
 @in_world
@@ -211,8 +211,10 @@
     for _ in range(3):
         await anyio.sleep(ROUND_PERIOD)
         await succession._notify(home.tenure)
-    told = ResignMessage(epoch)
-    assert all(entry.got and entry.got[0] == told for entry in entries)
+    expected_message = ResignMessage(epoch)
+    assert all(
+        entry.got and entry.got[0] == expected_message for entry in entries
+    )
 
 
 @in_world
