--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -82,7 +82,8 @@
         self._requesters = (grants, units, watch)
         self._tables: list[TableMessage] = []
         self._table_received = anyio.Event()
-        #: Set when a home that cannot reach the store asks whether this can.
+        #: Set when a home that cannot reach the store asks whether this node
+        #: does.
         self._store_check_requested = anyio.Event()
         self._table = FollowedTable(state, sync)
         self._reconnect = HomeReconnect(state, sync)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -173,7 +173,7 @@
     #: Units that this entry may spend; None if the sender may not allocate
     #: any.
     given: GivenUnits | None = None
-    #: Whether the entry should look for another home.
+    #: Whether the home has resigned and the entry should look up another one.
     resigned: bool = False
     configuration: ConfigurationPart | None = None
     upstreams: UpstreamsPart | None = None
