--- a/packages/spanfall-node/src/spanfall_node/gateway/home/claiming.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/claiming.py
@@ -3,7 +3,7 @@
 import logging
 from dataclasses import dataclass
 
-from spanfall_core.gateway.known_revision.timelines import timeline_of
+from spanfall_core.gateway.known.timelines import timeline_of
 
 from spanfall_node.gateway.home.home_content import (
     HomeContent,
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -9,7 +9,7 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known_revision.reporting import unheard_after
+from spanfall_core.gateway.known.reporting import unheard_after
 from spanfall_core.gateway.routing.grants import EntryLoad
 from websockets.asyncio.server import ServerConnection, serve
 from websockets.exceptions import WebSocketException
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -9,10 +9,7 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known_revision.reporting import (
-    report_period,
-    unheard_after,
-)
+from spanfall_core.gateway.known.reporting import report_period, unheard_after
 
 from spanfall_node.gateway.home.claiming import Claim, claim_home
 from spanfall_node.gateway.home.home_content import (
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -134,7 +134,7 @@
 
 
 @in_world
-async def test_an_entry_reads_a_listing_that_the_home_cannot(world):
+async def test_an_entry_reads_what_the_home_cannot(world):
     """Guard against a stale upstream list of a home with a new configuration.
 
     The entry must then read the listing from the store itself.
@@ -273,7 +273,7 @@
 
 
 @in_world
-async def test_entries_are_current_without_a_configuration(world):
+async def test_entries_receive_that_none_is_configured(world):
     """Until a configuration is written, only the home looks it up."""
     world.store.remove(CONFIGURATION_KEY)
     home = await world.add_unready_gateway()
@@ -288,7 +288,7 @@
 
 
 @in_world
-async def test_a_starting_home_reads_the_configuration_at_once(world):
+async def test_a_starting_home_reads_at_once(world):
     """After a restart of the fleet all other nodes wait for its table."""
     state = await world.add_unready_gateway()
     await wait_until(lambda: state.tenure is not None)
--- a/tests/test_gateway_home_restore.py
+++ b/tests/test_gateway_home_restore.py
@@ -60,7 +60,7 @@
 # Guards against the use of a lease number from before the restore, which the
 # restored store may have granted to another node.
 @in_world
-async def test_a_lease_from_before_a_restore_is_replaced(world):
+async def test_a_restore_replaces_the_lease(world):
     home, other = await two_gateways(world)
     before = home.tenure
     world.store.restore(world.store.copy())
@@ -75,7 +75,7 @@
 # Guards against a home that continues although another node holds the record
 # of the next timeline.
 @in_world
-async def test_a_home_steps_down_for_another_after_a_restore(world):
+async def test_a_home_yields_to_another_after_a_restore(world):
     home, other = await two_gateways(world)
     world.store.restore(world.store.copy())
     record = (
@@ -93,7 +93,7 @@
 # Guards against two homes that allocate the same units: the restored store has
 # lost the lease of the first home, which may act until that lease expires.
 @in_world
-async def test_a_new_home_delays_allocation_after_a_restore(world):
+async def test_a_restore_delays_the_next_allocation(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     async with ending_gateway(world) as (first, life):
         await wait_until(lambda: is_home(first))
@@ -137,7 +137,7 @@
 # Guards against records that the home assumes are written although a restore
 # has lost them.
 @in_world
-async def test_records_lost_in_a_restore_are_written_again(world):
+async def test_lost_records_are_written_again(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     copy = world.store.copy()
@@ -155,7 +155,7 @@
 # Guards against an old spending record that a restore brings back and that
 # stays because the home has already written a later one.
 @in_world
-async def test_a_restored_old_spending_record_is_replaced(world):
+async def test_an_old_spending_record_is_replaced(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
@@ -186,7 +186,7 @@
 # Guards against a change of the home after each restore: the new home would
 # have less information.
 @in_world
-async def test_a_home_that_lost_its_lease_claims_again_after_a_restore(world):
+async def test_a_home_claims_again_after_a_restore(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     world.store.failing = 503
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -119,7 +119,7 @@
 
 
 @given(st.data())
-def test_messages_with_changed_bytes_are_decoded_or_refused(data):
+def test_changed_bytes_are_decoded_or_refused(data):
     for decoder, messages in DECODERS:
         changed = bytearray(data.draw(st.sampled_from(messages)))
         place = data.draw(st.integers(0, len(changed) - 1))
@@ -135,7 +135,7 @@
 
 
 @given(st.data(), ANYTHING)
-def test_messages_with_changed_fields_are_decoded_or_refused(data, content):
+def test_changed_fields_are_decoded_or_refused(data, content):
     for decoder, messages in DECODERS:
         fields = cbor2.loads(data.draw(st.sampled_from(messages)))
         name = data.draw(st.sampled_from(sorted(fields)))
--- a/tests/test_gateway_passing_on.py
+++ b/tests/test_gateway_passing_on.py
@@ -71,12 +71,12 @@
     assert len(received_at) == ENTRIES
 
 
-def test_a_slow_link_leaves_some_entries_to_the_store():
+def test_a_slow_link_serves_some_entries_only():
     received_at, _ = distribute(5, DUE_SECONDS)
     assert 0 < len(received_at) < ENTRIES
 
 
-def test_the_sent_configuration_is_that_of_the_store():
+def test_the_sent_configuration_is_the_stored_one():
     part = ConfigurationSender(100).part(3, SOURCE, 0)
     assert (part.version, unpack(part)) == (3, SOURCE)
     assert len(part.packed) < len(SOURCE) / 10
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -104,7 +104,7 @@
 
 
 @in_world
-async def test_the_home_stays_while_the_store_is_down_for_all(world):
+async def test_a_store_outage_does_not_end_the_tenure(world):
     """If no node reaches the store, the home does not resign."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
@@ -121,7 +121,7 @@
 
 
 @in_world
-async def test_a_restarted_fleet_allocates_units_at_once(world):
+async def test_a_restarted_fleet_allocates_at_once(world):
     """Guard against refusals after all processes were restarted.
 
     The record of the old home is still in the store. A node that followed it
@@ -196,7 +196,7 @@
 
 
 @in_world
-async def test_more_entries_are_notified_if_the_first_do_not_act(world):
+async def test_more_entries_are_notified_in_rounds(world):
     """The first entries may be cut off themselves, or lose their answers."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
@@ -249,7 +249,7 @@
 
 
 @in_world
-async def test_a_renewal_under_way_does_not_undo_a_handover(world):
+async def test_a_pending_renewal_keeps_a_handover(world):
     """Guard against two allocating homes.
 
     The home hands over while its renewal is pending; the renewal's answer must
@@ -263,7 +263,7 @@
 
 
 @in_world
-async def test_an_entry_drops_a_home_that_closes_its_link(world):
+async def test_an_entry_drops_a_home_that_closed(world):
     """Guard against an entry that follows a home that has stepped down.
 
     The home closes the link normally, which is not an error of the link.
