--- a/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/telling_words.py
@@ -11,13 +11,13 @@
     """Send a home all known statements, then each new one at once."""
     words = state.words
     now = state.timers.now()
-    words.unsent = {}
+    words.untold = {}
     known = words.table.words_since(0, now)
     if known:
         await link.send(encode(StatementsReport(known)))
     while True:
         heard = words.heard
-        if not words.unsent:
+        if not words.untold:
             await heard.wait()
-        unsent = words.take_untold(state.timers.now())
-        await link.send(encode(StatementsReport(unsent)))
+        untold = words.take_untold(state.timers.now())
+        await link.send(encode(StatementsReport(untold)))
