--- a/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/known/engine_model.py
@@ -1,54 +1,55 @@
-"""Learn from requests how fast the engines of a service read prompts.
+"""Estimate the prefill speed of the engines of a service from requests.
 
-The wait for a first token is taken as a line over the work of reading: what
-waits at the engine and the prompt itself. Entries add up what their requests
-showed; sums of all entries give one line, so a fleet of many small entries
-learns as fast as one large one. Orders, routing and grants read this line.
+The time to first token is modelled as a linear function of the prefill work:
+the work queued at the engine plus the prompt itself. Entries sum the samples
+of their requests, and the home fits one line to the sums of all entries, so
+that a fleet of many small entries learns as fast as one large entry.
+Autoscaling, routing and grants use this line.
 """
 
 from dataclasses import dataclass, field, fields
 
-#: Tokens for which reading takes twice as long as its length alone says,
-#: since each token also looks at all before it.
-ATTENTION_TOKENS = 100_000
-#: What is assumed until requests show more: a slow engine, so that the first
-#: seconds of a service err towards more engines.
+#: Prompt length, in tokens, at which attention doubles the cost of prefill
+#: over the linear part, since each token attends to all tokens before it.
+DOUBLE_COST_TOKENS = 100_000
+#: Prior, in tokens per second and seconds, until there are samples: a slow
+#: engine, so that the first seconds of a service over-provision engines.
 PRIOR_RATE = 60_000.0
 PRIOR_BASE = 0.03
-#: Samples that the prior counts for, at a short and at a long prompt.
+#: Weight of the prior, in samples at a short and at a long prompt.
 PRIOR_SAMPLES = 2.0
 PRIOR_WORKS = (500.0, 10_000.0)
-#: Seconds in which the weight of a sample halves: longer than a jam, shorter
-#: than it takes an operator to change engines.
+#: Half-life of the weight of a sample, in seconds: longer than a load spike,
+#: shorter than it takes an operator to replace engines.
 SAMPLE_HALF_LIFE = 30.0
-#: A wait counts for at most this many times what was expected, so that one
-#: silent engine does not spoil the line.
-MOST_SURPRISE = 3.0
-#: Slowest and fastest reading that is believed, in tokens a second.
-LEAST_RATE = 2_000.0
-MOST_RATE = 2_000_000.0
+#: Maximum ratio of a counted wait to the expected one, so that one
+#: unresponsive engine does not distort the line.
+MAX_WAIT_RATIO = 3.0
+#: Bounds of the estimated prefill speed, in tokens per second.
+MIN_RATE = 2_000.0
+MAX_RATE = 2_000_000.0
 
 
-def reading_work(tokens: int) -> float:
-    """Return what reading a prompt costs, in tokens of a short one."""
-    return tokens * (1 + tokens / ATTENTION_TOKENS)
+def prefill_work(tokens: int) -> float:
+    """Return the cost of the prefill of a prompt, in tokens of a short one."""
+    return tokens * (1 + tokens / DOUBLE_COST_TOKENS)
 
 
 @dataclass(frozen=True, slots=True)
-class ReadingSpeed:
-    """State the line: seconds = base + work / rate."""
+class PrefillSpeed:
+    """State the fitted line: seconds = base + work / rate."""
 
     base: float = PRIOR_BASE
     rate: float = PRIOR_RATE
 
     def seconds(self, work: float) -> float:
-        """Return the expected wait for a first token behind such work."""
+        """Return the expected time to first token for some prefill work."""
         return self.base + work / self.rate
 
 
 @dataclass(slots=True)
-class ReadingSums:
-    """Hold sums over samples of work and seconds; sums can be added."""
+class PrefillSums:
+    """Accumulate samples of work and seconds as sums that can be added."""
 
     count: float = 0
     work: float = 0
@@ -64,71 +65,74 @@
         self.seconds += weight * seconds
         self.product += weight * work * seconds
 
-    def add_sums(self, other: 'ReadingSums', sign: float = 1) -> None:
-        """Add the sums of others, or take them away."""
+    def add_sums(self, other: 'PrefillSums', sign: float = 1) -> None:
+        """Add other sums, or subtract them if the sign is -1."""
         for one in fields(self):
             total = getattr(self, one.name)
             setattr(self, one.name, total + sign * getattr(other, one.name))
 
-    def fade(self, part: float) -> None:
-        """Keep a part of the weight of all samples."""
+    def decay(self, factor: float) -> None:
+        """Multiply the weight of all samples by a factor."""
         for one in fields(self):
-            setattr(self, one.name, getattr(self, one.name) * part)
-
-    def line(self) -> ReadingSpeed:
-        """Return the line of least squares through the samples."""
-        spread = self.count * self.work_square - self.work * self.work
-        if spread <= 0:
-            return ReadingSpeed()
-        slope = (self.count * self.product - self.work * self.seconds) / spread
-        rate = 1 / min(1 / LEAST_RATE, max(1 / MOST_RATE, slope))
+            setattr(self, one.name, getattr(self, one.name) * factor)
+
+    def fit(self) -> PrefillSpeed:
+        """Return the least-squares line through the samples."""
+        denominator = self.count * self.work_square - self.work * self.work
+        if denominator <= 0:
+            return PrefillSpeed()
+        slope = (
+            self.count * self.product - self.work * self.seconds
+        ) / denominator
+        rate = 1 / min(1 / MIN_RATE, max(1 / MAX_RATE, slope))
         base = (self.seconds - self.work / rate) / self.count
-        return ReadingSpeed(max(0, base), rate)
+        return PrefillSpeed(max(0, base), rate)
 
 
-def prior_sums(prior: ReadingSpeed) -> ReadingSums:
-    """Return the samples that stand for what is assumed at first."""
-    sums = ReadingSums()
+def prior_sums(prior: PrefillSpeed) -> PrefillSums:
+    """Return the samples that represent the prior."""
+    sums = PrefillSums()
     for work in PRIOR_WORKS:
         sums.add(work, prior.seconds(work), PRIOR_SAMPLES)
     return sums
 
 
 @dataclass(slots=True)
-class ReadingModel:
-    """Learn the line of one service from the sums of all entries."""
+class PrefillModel:
+    """Fit the line of one service to the sums of all entries."""
 
-    #: What a new home heard from the home before.
-    prior: ReadingSpeed = field(default_factory=ReadingSpeed)
-    _sums: ReadingSums = field(default_factory=ReadingSums)
-    _known: dict[str, ReadingSums] = field(default_factory=dict)
-    _faded_at: float = 0
+    #: Estimate that the previous home reported.
+    prior: PrefillSpeed = field(default_factory=PrefillSpeed)
+    _sums: PrefillSums = field(default_factory=PrefillSums)
+    _last_sums: dict[str, PrefillSums] = field(default_factory=dict)
+    _decayed_at: float = 0
 
-    def learn(self, entry: str, sums: ReadingSums, now: float) -> None:
-        """Take the sums of an entry since its process started.
+    def learn(self, entry: str, sums: PrefillSums, now: float) -> None:
+        """Add what the sums of an entry have gained since its last report.
 
-        The first sums of an entry only show where it stands.
+        The sums count from the start of the entry's process; the first ones
+        only set the baseline.
         """
-        self._fade(now)
-        known = self._known.get(entry)
-        self._known[entry] = sums
+        self._decay(now)
+        known = self._last_sums.get(entry)
+        self._last_sums[entry] = sums
         if known is not None:
             self._sums.add_sums(sums)
             self._sums.add_sums(known, -1)
 
-    def speed(self) -> ReadingSpeed:
-        """Return the line that is in force now."""
+    def speed(self) -> PrefillSpeed:
+        """Return the current estimate."""
         sums = prior_sums(self.prior)
         sums.add_sums(self._sums)
-        return sums.line()
+        return sums.fit()
 
-    def _fade(self, now: float) -> None:
-        passed = now - self._faded_at
+    def _decay(self, now: float) -> None:
+        passed = now - self._decayed_at
         if passed >= 1:
-            self._sums.fade(0.5 ** (passed / SAMPLE_HALF_LIFE))
-            self._faded_at = now
+            self._sums.decay(0.5 ** (passed / SAMPLE_HALF_LIFE))
+            self._decayed_at = now
 
 
-def bounded_seconds(seconds: float, expected: float) -> float:
-    """Return a wait as far as it is believed."""
-    return min(seconds, expected * MOST_SURPRISE)
+def clamp_wait(seconds: float, expected: float) -> float:
+    """Return a wait, limited to a multiple of the expected one."""
+    return min(seconds, expected * MAX_WAIT_RATIO)
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
@@ -242,7 +242,7 @@
         status = await self._cloud.call('usage', call)
         if status == 200:
             self._unsent.remove(window)
-            state.fleet.usage.forget_before(window - RETAINED_WINDOWS)
+            state.fleet.usage.drop_before(window - RETAINED_WINDOWS)
             return True
         if 400 <= status < 500 and status != 429:
             logger.error(
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -132,7 +132,7 @@
 
     async def _run_link(self, link: ClientConnection) -> None:
         """Run the tasks of a link until it fails or the home changes."""
-        self._state.loads.forget_others()
+        self._state.loads.reset_others()
         self._table = FollowedTable(self._state, self._sync)
         self._tables = []
         self._store_check_requested = anyio.Event()
@@ -261,7 +261,7 @@
             report,
             state.version,
             state.directory.digest,
-            state.directory.told_revision,
+            state.directory.delta_base,
             wants_totals=self._table.wants_totals(sent_at),
             seen=self._grants.load().seen,
             strength=strength(state.cfg.host),
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -7,11 +7,11 @@
 import cbor2
 import msgspec
 from spanfall_core.gateway.crashes.crashes import Standing
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.fleet import EntryReport, FleetTotals
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.reporting import REPORT_PERIOD
-from spanfall_core.gateway.known.unit_reports import GivenUnits
+from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.routing.estimates import Ask
 from spanfall_core.gateway.routing.grants import EntryLoad, Grant
 
@@ -167,12 +167,12 @@
     #: the home.
     totals: FleetTotals | None = None
     #: Prefill speed of the engines of each service.
-    speeds: dict[str, ReadingSpeed] = {}
+    speeds: dict[str, PrefillSpeed] = {}
     #: Upstreams that each service needs, for the next home.
     needs: dict[str, float] = {}
     #: Units that this entry may spend; None if the sender may not allocate
     #: any.
-    given: GivenUnits | None = None
+    given: AllocatedUnits | None = None
     #: Whether the home has resigned and the entry should look up another one.
     resigned: bool = False
     configuration: ConfigurationPart | None = None
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/word_messages.py
@@ -1,13 +1,13 @@
 """Define the messages that carry the statements of upstreams."""
 
 import msgspec
-from spanfall_core.gateway.known.statements import Words
+from spanfall_core.gateway.known.statements import KnownStatements
 
 
 class StatementsReport(msgspec.Struct, frozen=True, tag='words'):
     """Send the home new statements; on a new link, all that an entry has."""
 
-    words: Words
+    words: KnownStatements
 
 
 class StatementsPart(msgspec.Struct, frozen=True):
@@ -15,4 +15,4 @@
 
     #: Version of the home's table that includes these statements.
     version: int
-    words: Words
+    words: KnownStatements
--- a/tests/test_gateway_capacity.py
+++ b/tests/test_gateway_capacity.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from spanfall_core.gateway.known.configuration import EngineLimits, Scaling
-from spanfall_core.gateway.known.engine_model import ReadingSpeed
+from spanfall_core.gateway.known.engine_model import PrefillSpeed
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import (
@@ -181,7 +181,7 @@
 
 def test_a_jam_is_no_lasting_need():
     engine = EngineLimits(slots=10, cache_tokens=1)
-    speed = ReadingSpeed()
+    speed = PrefillSpeed()
     jam, full = OfferedLoad(running=300), OfferedLoad(running=30)
     waiting = needed_upstreams(engine, jam, speed, there=3)
     assert waiting == needed_upstreams(engine, full, speed, there=3)
@@ -279,7 +279,7 @@
     present = Present(Counter(reclaimable), Counter(others))
     orders = ServiceOrders(demand=Demand(peak=peak, found=first))
     for order in plan(orders, present):
-        assert 0 <= order.count <= SCALING.most
+        assert 0 <= order.count <= SCALING.max_upstreams
         if order.reclaimable:
             there = present.others[order.data_centre]
-            assert order.count + there <= max(SCALING.most, there)
+            assert order.count + there <= max(SCALING.max_upstreams, there)
--- a/tests/test_gateway_identity.py
+++ b/tests/test_gateway_identity.py
@@ -1,4 +1,4 @@
-"""Name a request the same wherever it comes, and no other so."""
+"""Test that identities are equal exactly for attempts of the same request."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,6 +14,6 @@
 
 
 @given(PARTS, PARTS)
-def test_identities_are_equal_where_all_parts_are(first, second):
+def test_identities_differ_if_any_part_differs(first, second):
     same = request_identity(*first) == request_identity(*second)
     assert same == (first == second)
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -1,4 +1,4 @@
-"""Usage reports when the store has lost what was recorded of them."""
+"""Test usage reports after the store has lost its record of them."""
 
 from collections import defaultdict
 
@@ -19,12 +19,13 @@
 WINDOW = 1.0
 LEASE = 0.5
 BOUNDS = {'usage_window_seconds': WINDOW, 'duty_lease_seconds': LEASE}
-#: Reports before the home ends, and seconds in which the next one makes some.
-REPORTS = 3
-SECONDS = 8
+#: Number of reports before the store is restored, and seconds for which the
+#: home after that keeps reporting.
+REPORTS_BEFORE_RESTORE = 3
+RUN_SECONDS = 8
 
 
-async def call_all_along(state):
+async def send_requests(state):
     """Send requests to an entry until cancelled."""
     number = 0
     while True:
@@ -43,50 +44,55 @@
     return reports
 
 
-async def served_world(world):
+async def add_workspace_and_upstream(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
 
 
-# Guards against a window that is reported again with other counts, since the
-# record of the first report is lost.
+# Guards against reporting a window again with other counts, because the record
+# of its first report was lost.
 @in_world
-async def test_a_new_home_after_a_restore(world):
-    await served_world(world)
+async def test_new_home_after_restore(world):
+    await add_workspace_and_upstream(world)
     async with ending_gateway(world, **BOUNDS) as (first, life):
         await wait_until(lambda: is_home(first))
         copy = world.store.copy()
         other = await world.add_gateway(**BOUNDS)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(call_all_along, first)
-            tasks.start_soon(call_all_along, other)
-            await wait_until(lambda: len(world.cloud_calls) >= REPORTS)
+            tasks.start_soon(send_requests, first)
+            tasks.start_soon(send_requests, other)
+            await wait_until(
+                lambda: len(world.cloud_calls) >= REPORTS_BEFORE_RESTORE
+            )
             tasks.cancel_scope.cancel()
         life.cancel()
     world.store.restore(copy)
     reported = len(world.cloud_calls)
     await wait_until(lambda: is_home(other))
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(call_all_along, other)
-        await anyio.sleep(SECONDS)
+        tasks.start_soon(send_requests, other)
+        await anyio.sleep(RUN_SECONDS)
         tasks.cancel_scope.cancel()
     assert len(world.cloud_calls) > reported
     reports = counts_by_window(world)
     assert all(len(counts) == 1 for counts in reports.values())
 
 
-# Guards against windows that the home leaves out though it knows what it sent.
+# Guards against omitting windows although the home still has the list of its
+# reports.
 @in_world
-async def test_the_same_home_after_a_restore(world):
-    await served_world(world)
+async def test_same_home_after_restore(world):
+    await add_workspace_and_upstream(world)
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     copy = world.store.copy()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(call_all_along, home)
-        await wait_until(lambda: len(world.cloud_calls) >= REPORTS)
+        tasks.start_soon(send_requests, home)
+        await wait_until(
+            lambda: len(world.cloud_calls) >= REPORTS_BEFORE_RESTORE
+        )
         world.store.restore(copy)
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(RUN_SECONDS)
         tasks.cancel_scope.cancel()
     reports = counts_by_window(world)
     assert USAGE_KEY in world.store.items
@@ -94,10 +100,10 @@
     assert sorted(reports) == list(range(min(reports), max(reports) + 1))
 
 
-# Guards against the first home of a fleet that takes itself for one that has
-# reported nothing yet.
+# Guards against the first home of a fleet that assumes after a restore that it
+# has reported nothing yet.
 @in_world
-async def test_the_first_home_has_reported(world):
+async def test_first_home_skips_reported_windows(world):
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     async with store_client(world) as store:
