--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -9,7 +9,7 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.prefixes import PromptPart
 from spanfall_core.gateway.known.unit_reports import EntrySpending
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
 from spanfall_core.gateway.routing.estimates import Ask
 from spanfall_core.gateway.routing.grants import (
@@ -83,17 +83,17 @@
         f'workspace-{place}': Limit(100_000, 100_000, 8)
         for place in range(WORKSPACES)
     }
-    shared = SharedLevels()
+    shared = QuotaAllocator()
     spent = dict.fromkeys(limits, 0.0)
     for number in range(nodes):
-        shared.learn(f'n-{number}/0', EntrySpending(spent), limits, 0)
+        shared.apply_report(f'n-{number}/0', EntrySpending(spent), limits, 0)
     clock = count(0, 0.25 / nodes)
     began = time.process_time()
     for again in range(nodes):
         now = next(clock)
         spending = EntrySpending(dict.fromkeys(limits, 10.0 + again))
-        shared.learn(f'n-{again}/0', spending, limits, now)
-        shared.give(f'n-{again}/0', limits, now)
+        shared.apply_report(f'n-{again}/0', spending, limits, now)
+        shared.allocate(f'n-{again}/0', limits, now)
     return (time.process_time() - began) / nodes * MICROSECONDS
 
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
@@ -22,14 +22,14 @@
 #: Seconds for which the record takes spending to go on at the rate that was
 #: seen last: what was heard is a report old, the record itself a look and a
 #: write, and both are later on busy hosts.
-UNHEARD_SECONDS = 0.6
+UNREPORTED_SECONDS = 0.6
 #: Seconds over which that rate is measured, the fastest of them counts: a short
 #: time sees pressure begin, a long one holds while reports are late.
-RATE_SECONDS = (0.3, 1.0)
+RATE_WINDOW_SECONDS = (0.3, 1.0)
 
 
 @dataclass(slots=True)
-class TimeBefore:
+class PredecessorSpending:
     """Hold what may have been spent before a home whom no entry tells.
 
     What the record does not know of may all have been in the last moment, so
@@ -39,13 +39,13 @@
     #: What the record says, by its ages.
     recorded: Spending = field(default_factory=Spending)
     #: What is taken as spent whatever the record says.
-    least: Spending = field(default_factory=Spending)
+    minimum: Spending = field(default_factory=Spending)
 
     def larger(self, limit: Limit, now: float) -> Spending:
         """Return which of both is more in the window that ends now."""
         recorded = self.recorded.recent(limit.window, now)
-        least = self.least.recent(limit.window, now)
-        return self.recorded if recorded > least else self.least
+        minimum = self.minimum.recent(limit.window, now)
+        return self.recorded if recorded > minimum else self.minimum
 
 
 @dataclass(slots=True)
@@ -55,23 +55,23 @@
     #: What the home before recorded, by workspace and age in seconds.
     recorded: Mapping[str, ByAge] = field(default_factory=dict)
     #: Whether no entry could tell of the time before this home.
-    is_assumed: bool = True
+    is_history_assumed: bool = True
     _spent: dict[str, Spending] = field(default_factory=dict)
     _returned: dict[str, Spending] = field(default_factory=dict)
-    _before: dict[str, TimeBefore] = field(default_factory=dict)
+    _predecessors: dict[str, PredecessorSpending] = field(default_factory=dict)
 
-    def begin(self, limits: Limits, now: float) -> None:
+    def assume_history(self, limits: Limits, now: float) -> None:
         """Take the time before this home as it may have been."""
         for workspace, limit in limits.items():
-            self._before_of(workspace, limit, now)
+            self._predecessor_of(workspace, limit, now)
 
     def add(self, workspace: str, units: float, now: float) -> None:
         """Add units that an entry spent."""
-        self._of(workspace).add(units, now)
+        self._spending_of(workspace).add(units, now)
 
     def recall(self, workspace: str, by_age: ByAge, now: float) -> None:
         """Add what an entry spent before it was heard."""
-        self._of(workspace).recall(by_age, now)
+        self._spending_of(workspace).recall(by_age, now)
 
     def count_returned(self, rows: Mapping[str, Pieces], sign: int) -> None:
         """Count units that came back, or with a sign of -1 no longer."""
@@ -82,63 +82,69 @@
 
     def recent(self, workspace: str, limit: Limit, now: float) -> float:
         """Return what was spent in the window that ends now."""
-        spent = self._known(workspace, limit, now)
-        if not self.is_assumed:
+        spent = self._known_spending(workspace, limit, now)
+        if not self.is_history_assumed:
             return spent
-        before = self._before_of(workspace, limit, now)
-        return spent + before.larger(limit, now).spent
+        predecessor = self._predecessor_of(workspace, limit, now)
+        return spent + predecessor.larger(limit, now).spent
 
-    def pressed(self, limits: Limits, now: float) -> dict[str, ByAge]:
+    def spending_to_record(
+        self, limits: Limits, now: float
+    ) -> dict[str, ByAge]:
         """Return the spending, by age, of workspaces that use much."""
         return {
             workspace: self._by_age(workspace, limit, now)
             for workspace, limit in limits.items()
-            if self._is_pressed(workspace, limit, now)
+            if self._needs_record(workspace, limit, now)
         }
 
-    def _is_pressed(self, workspace: str, limit: Limit, now: float) -> bool:
+    def _needs_record(self, workspace: str, limit: Limit, now: float) -> bool:
         """Tell whether what is known to be spent is worth a record."""
-        spent = self._known(workspace, limit, now)
-        if self.is_assumed:
-            before = self._before_of(workspace, limit, now)
-            spent += before.recorded.recent(limit.window, now)
+        spent = self._known_spending(workspace, limit, now)
+        if self.is_history_assumed:
+            predecessor = self._predecessor_of(workspace, limit, now)
+            spent += predecessor.recorded.recent(limit.window, now)
         return spent > limit.total * RECORDED_PART
 
-    def _known(self, workspace: str, limit: Limit, now: float) -> float:
-        spent = self._of(workspace).recent(limit.window, now)
+    def _known_spending(
+        self, workspace: str, limit: Limit, now: float
+    ) -> float:
+        spent = self._spending_of(workspace).recent(limit.window, now)
         returned = self._returned.get(workspace)
         if returned is None:
             return spent
         return spent - returned.recent(limit.window, now)
 
     def _by_age(self, workspace: str, limit: Limit, now: float) -> ByAge:
-        rows = [self._of(workspace).by_age(now)]
-        rows.append([self._unheard(workspace, limit, now)])
-        if self.is_assumed:
-            before = self._before_of(workspace, limit, now)
-            rows.append(before.larger(limit, now).by_age(now))
+        rows = [self._spending_of(workspace).by_age(now)]
+        rows.append([self._unreported_spending(workspace, limit, now)])
+        if self.is_history_assumed:
+            predecessor = self._predecessor_of(workspace, limit, now)
+            rows.append(predecessor.larger(limit, now).by_age(now))
         return sum_ages(rows)
 
-    def _unheard(self, workspace: str, limit: Limit, now: float) -> float:
+    def _unreported_spending(
+        self, workspace: str, limit: Limit, now: float
+    ) -> float:
         """Return what is spent until a home without this record follows."""
-        spent = self._of(workspace)
-        rate = max(spent.rate(seconds, now) for seconds in RATE_SECONDS)
+        spent = self._spending_of(workspace)
+        rate = max(spent.rate(seconds, now) for seconds in RATE_WINDOW_SECONDS)
         left = limit.total - self.recent(workspace, limit, now)
-        return max(0, min(rate * UNHEARD_SECONDS, left))
+        return max(0, min(rate * UNREPORTED_SECONDS, left))
 
-    def _of(self, workspace: str) -> Spending:
+    def _spending_of(self, workspace: str) -> Spending:
         return self._spent.setdefault(workspace, Spending())
 
-    def _before_of(
+    def _predecessor_of(
         self,
         workspace: str,
         limit: Limit,
         now: float,
-    ) -> TimeBefore:
-        before = self._before.get(workspace)
-        if before is None:
-            before = TimeBefore()
-            before.recorded.recall(self.recorded.get(workspace, ()), now)
-            before.least.add(limit.total * ASSUMED_PART, now)
-            self._before[workspace] = before
-        return before
+    ) -> PredecessorSpending:
+        predecessor = self._predecessors.get(workspace)
+        if predecessor is None:
+            predecessor = PredecessorSpending()
+            predecessor.recorded.recall(self.recorded.get(workspace, ()), now)
+            predecessor.minimum.add(limit.total * ASSUMED_PART, now)
+            self._predecessors[workspace] = predecessor
+        return predecessor
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
@@ -20,18 +20,18 @@
 BURST_SECONDS = 0.5
 #: Permits a second for an upstream that takes fewer, or none: its next answer
 #: tells whether that still holds.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 #: Longest time after which a caller that finds no room is to come back.
-LONGEST_WAIT = 5.0
+MAX_WAIT_SECONDS = 5.0
 #: Part of a permit that rounding may lack.
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 #: Seconds until the next look for room at the least: the steady clock of a host
 #: that runs for long has no digits for less.
-LEAST_LOOK = 0.001
+MIN_RECHECK_SECONDS = 0.001
 
 
 @dataclass(slots=True)
-class Room:
+class TokenBucket:
     """Hold the permits that one upstream leaves, growing with time.
 
     It begins with none: a home that begins, and an upstream that has just
@@ -45,24 +45,24 @@
 
     def refill(self, now: float) -> None:
         """Add what has grown until now."""
-        most = BURST + self.rate * BURST_SECONDS
+        capacity = BURST + self.rate * BURST_SECONDS
         grown = self.level + self.rate * max(0, now - self.at)
-        self.level = min(most, grown)
+        self.level = min(capacity, grown)
         self.at = max(self.at, now)
 
     @property
-    def is_full(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether there is no permit to give."""
-        return self.level < 1 - ROUNDING
+        return self.level < 1 - ROUNDING_TOLERANCE
 
     @property
-    def free_at(self) -> float:
+    def next_permit_at(self) -> float:
         """Return when there is one."""
-        return self.at + max(LEAST_LOOK, (1 - self.level) / self.rate)
+        return self.at + max(MIN_RECHECK_SECONDS, (1 - self.level) / self.rate)
 
 
 @dataclass(slots=True)
-class Turns:
+class RetrySchedule:
     """Hold who of a service's callers may come back when."""
 
     rows: Sequence[ListedUpstream] = ()
@@ -71,22 +71,22 @@
     #: Permits a second of all its upstreams.
     rate: float = 0
     #: Turn of the caller that was told last.
-    last: float = float('-inf')
+    last_retry_at: float = float('-inf')
 
 
 @dataclass(slots=True)
 class Permits:
     """Hold the room at each upstream that names a limit."""
 
-    _rooms: dict[Lifetime, Room] = field(default_factory=dict)
-    _full: set[Lifetime] = field(default_factory=set)
+    _buckets: dict[Lifetime, TokenBucket] = field(default_factory=dict)
+    _exhausted: set[Lifetime] = field(default_factory=set)
     #: When room is to be looked for again at one that was full.
-    _due: list[tuple[float, Lifetime]] = field(default_factory=list)
-    _turns: dict[str, Turns] = field(default_factory=dict)
+    _recheck_queue: list[tuple[float, Lifetime]] = field(default_factory=list)
+    _schedules: dict[str, RetrySchedule] = field(default_factory=dict)
     #: Grows with each change of a rate.
     _version: int = 0
 
-    def follow(
+    def set_rate(
         self,
         lifetime: Lifetime,
         rate: float | None,
@@ -95,33 +95,33 @@
         """Take another rate of an upstream; None: it names no limit."""
         self._version += 1
         if rate is None:
-            self._rooms.pop(lifetime, None)
-            self._full.discard(lifetime)
+            self._buckets.pop(lifetime, None)
+            self._exhausted.discard(lifetime)
             return
-        room = self._rooms.setdefault(lifetime, Room(LEAST_RATE, now))
-        room.refill(now)
-        room.rate = max(LEAST_RATE, rate)
-        room.refill(now)
-        self._note(lifetime, room)
+        bucket = self._buckets.setdefault(lifetime, TokenBucket(MIN_RATE, now))
+        bucket.refill(now)
+        bucket.rate = max(MIN_RATE, rate)
+        bucket.refill(now)
+        self._update_availability(lifetime, bucket)
 
     def withheld(self, now: float) -> AbstractSet[Lifetime]:
         """Return the upstreams that may get nothing now."""
-        while self._due and self._due[0][0] <= now:
-            _, lifetime = heappop(self._due)
-            room = self._rooms.get(lifetime)
-            if room is not None and lifetime in self._full:
-                room.refill(now)
-                self._note(lifetime, room)
-        return self._full
-
-    def take(self, lifetime: Lifetime, now: float) -> bool:
+        while self._recheck_queue and self._recheck_queue[0][0] <= now:
+            _, lifetime = heappop(self._recheck_queue)
+            bucket = self._buckets.get(lifetime)
+            if bucket is not None and lifetime in self._exhausted:
+                bucket.refill(now)
+                self._update_availability(lifetime, bucket)
+        return self._exhausted
+
+    def acquire(self, lifetime: Lifetime, now: float) -> bool:
         """Give a permit; False: the upstream needs none."""
-        room = self._rooms.get(lifetime)
-        if room is None:
+        bucket = self._buckets.get(lifetime)
+        if bucket is None:
             return False
-        room.refill(now)
-        room.level -= 1
-        self._note(lifetime, room)
+        bucket.refill(now)
+        bucket.level -= 1
+        self._update_availability(lifetime, bucket)
         return True
 
     def wait(
@@ -135,25 +135,27 @@
         Callers that find no room come back one after the other, as room comes
         free. 0: no upstream of the service names a limit.
         """
-        turns = self._turns.setdefault(service, Turns())
-        if turns.rows is not rows or turns.version != self._version:
-            turns.rows = rows
-            turns.version = self._version
-            turns.rate = self._rate_of(rows)
-        if not turns.rate:
+        schedule = self._schedules.setdefault(service, RetrySchedule())
+        if schedule.rows is not rows or schedule.version != self._version:
+            schedule.rows = rows
+            schedule.version = self._version
+            schedule.rate = self._rate_of(rows)
+        if not schedule.rate:
             return 0
-        last = max(now, turns.last) + 1 / turns.rate
-        turns.last = min(last, now + LONGEST_WAIT)
-        return turns.last - now
+        last_retry_at = max(now, schedule.last_retry_at) + 1 / schedule.rate
+        schedule.last_retry_at = min(last_retry_at, now + MAX_WAIT_SECONDS)
+        return schedule.last_retry_at - now
 
     def _rate_of(self, rows: Sequence[ListedUpstream]) -> float:
-        rooms = (self._rooms.get(row.lifetime) for row in rows)
-        return sum(room.rate for room in rooms if room is not None)
+        buckets = (self._buckets.get(row.lifetime) for row in rows)
+        return sum(bucket.rate for bucket in buckets if bucket is not None)
 
-    def _note(self, lifetime: Lifetime, room: Room) -> None:
+    def _update_availability(
+        self, lifetime: Lifetime, bucket: TokenBucket
+    ) -> None:
         """Note whether there is room; look again when some comes free."""
-        if room.is_full:
-            self._full.add(lifetime)
-            heappush(self._due, (room.free_at, lifetime))
+        if bucket.is_empty:
+            self._exhausted.add(lifetime)
+            heappush(self._recheck_queue, (bucket.next_permit_at, lifetime))
         else:
-            self._full.discard(lifetime)
+            self._exhausted.discard(lifetime)
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
@@ -20,18 +20,18 @@
 
 #: Part of its share of a limit that an entry may spend at its start, before
 #: it finds the home: enough for the first requests of each workspace.
-FIRST_FREE = 0.06
+STARTUP_PART = 0.06
 #: Part of the units given last below which an entry asks for more at once,
 #: and units below which it does so whatever it was given.
-LOW_PART = 0.3
-LEAST_GIVEN = 1.0
+LOW_WATERMARK_PART = 0.3
+LOW_WATERMARK_MIN_UNITS = 1.0
 #: Seconds for which an entry asks for no more units of a workspace after the
 #: home had none: a pressing workspace costs it twenty questions a second.
-DENIED_SECONDS = 0.05
+DENIAL_BACKOFF_SECONDS = 0.05
 
 
 @dataclass(slots=True)
-class Held:
+class Allocation:
     """Hold the units of a workspace that belong to this entry."""
 
     #: Units given by the home, less what was spent since; None: it is alone.
@@ -42,11 +42,11 @@
     #: Alone: what it held and had spent when it lost the home.
     owned: float = 0
     #: The limit of that moment; what it owns falls with the limit.
-    owned_of: float = 0
+    owned_limit_total: float = 0
     #: Spending of before this process, as it is assumed at its start.
     assumed: Spending = field(default_factory=Spending)
     #: Whether a home ever gave anything.
-    is_known: bool = False
+    has_been_allocated: bool = False
     #: Until when no more is asked for, as the home had none.
     denied_until: float = 0
 
@@ -60,7 +60,7 @@
     #: Units since the process started, by workspace.
     spent: Units = field(default_factory=dict)
     given_back: Units = field(default_factory=dict)
-    _held: dict[str, Held] = field(default_factory=dict)
+    _allocations: dict[str, Allocation] = field(default_factory=dict)
     _own: dict[str, Spending] = field(default_factory=dict)
     _returned: dict[str, Spending] = field(default_factory=dict)
     #: What the last home said is left of each limit, and what it knew of.
@@ -75,26 +75,30 @@
         now: float,
     ) -> bool:
         """Spend units of a workspace if so many are held here."""
-        if self.left(workspace, limit, now) < units:
+        if self.available(workspace, limit, now) < units:
             return False
         self._own[workspace].spend(units, limit.window, now)
         self.spent[workspace] = self.spent.get(workspace, 0) + units
-        held = self._held[workspace]
-        if held.given is not None:
-            held.given -= units
+        allocation = self._allocations[workspace]
+        if allocation.given is not None:
+            allocation.given -= units
         return True
 
-    def left(self, workspace: str, limit: Limit, now: float) -> float:
+    def available(self, workspace: str, limit: Limit, now: float) -> float:
         """Return what may be spent here now."""
-        held = self._row(workspace, limit, now)
-        if held.given is not None:
-            return held.given
+        allocation = self._allocation_of(workspace, limit, now)
+        if allocation.given is not None:
+            return allocation.given
         # A limit that rises is not taken part of alone: the home does not
         # know that this entry follows it.
-        part = min(1, limit.total / held.owned_of) if held.owned_of else 1
+        part = (
+            min(1, limit.total / allocation.owned_limit_total)
+            if allocation.owned_limit_total
+            else 1
+        )
         recent = self._recent(workspace, limit, now)
-        assumed = held.assumed.recent(limit.window, now)
-        return held.owned * part - recent - assumed
+        assumed = allocation.assumed.recent(limit.window, now)
+        return allocation.owned * part - recent - assumed
 
     def give_back(
         self,
@@ -110,25 +114,31 @@
         now instead, they would go on to count as unspent after the spending
         has left, and let as much run twice.
         """
-        own = self._own.get(workspace)
-        if own is None or not own.holds(spent_at, limit.window, now):
+        own_spending = self._own.get(workspace)
+        if own_spending is None or not own_spending.holds(
+            spent_at, limit.window, now
+        ):
             return
         returned = self._returned.setdefault(workspace, Spending())
         returned.recent(limit.window, now)
         returned.add(units, spent_at)
         known = self.given_back.get(workspace, 0)
         self.given_back[workspace] = known + units
-        held = self._held[workspace]
-        if held.given is not None:
-            held.given += units
+        allocation = self._allocations[workspace]
+        if allocation.given is not None:
+            allocation.given += units
 
     def is_low(self) -> bool:
         """Tell whether the home should give more of some limit at once."""
         return any(
-            row.given is not None
-            and row.given < max(row.last_given * LOW_PART, LEAST_GIVEN)
+            allocation.given is not None
+            and allocation.given
+            < max(
+                allocation.last_given * LOW_WATERMARK_PART,
+                LOW_WATERMARK_MIN_UNITS,
+            )
             and self._levels.get(workspace, 0) > 0
-            for workspace, row in self._held.items()
+            for workspace, allocation in self._allocations.items()
         )
 
     def may_get_more(self, workspace: str, units: float, now: float) -> bool:
@@ -137,12 +147,15 @@
         This entry has not heard it yet, or not lately that it has none, or
         others hold as many, who give them back with their next reports.
         """
-        row = self._held.get(workspace)
-        if row is None or not row.is_known:
+        allocation = self._allocations.get(workspace)
+        if allocation is None or not allocation.has_been_allocated:
             return True
-        if row.given is None:
+        if allocation.given is None:
             return False
-        return now >= row.denied_until or self._levels.get(workspace, 0) > units
+        return (
+            now >= allocation.denied_until
+            or self._levels.get(workspace, 0) > units
+        )
 
     def missing(
         self,
@@ -152,20 +165,20 @@
         now: float,
     ) -> float:
         """Return the units to ask a home for, or 0 if it has none now."""
-        row = self._row(workspace, limit, now)
-        if row.given is None or now < row.denied_until:
+        allocation = self._allocation_of(workspace, limit, now)
+        if allocation.given is None or now < allocation.denied_until:
             return 0
-        return max(0, units - row.given)
+        return max(0, units - allocation.given)
 
-    def learn_lent(self, workspace: str, units: float, now: float) -> None:
+    def apply_lent(self, workspace: str, units: float, now: float) -> None:
         """Take units that the home gave besides; none: it has none now."""
-        row = self._held[workspace]
+        allocation = self._allocations[workspace]
         if not units:
-            row.denied_until = now + DENIED_SECONDS
-        elif row.given is not None:
-            row.given += units
+            allocation.denied_until = now + DENIAL_BACKOFF_SECONDS
+        elif allocation.given is not None:
+            allocation.given += units
 
-    def learn_given(
+    def apply_given(
         self,
         given: GivenUnits,
         reported: EntrySpending,
@@ -181,12 +194,12 @@
             units = given.held.get(workspace)
             if units is None:
                 continue
-            row = self._row(workspace, limit, now)
+            allocation = self._allocation_of(workspace, limit, now)
             since = self._net(workspace) - before.get(workspace, 0)
-            row.given = units - since
-            row.last_given = units
-            row.beyond = given.beyond.get(workspace, 0)
-            row.is_known = True
+            allocation.given = units - since
+            allocation.last_given = units
+            allocation.beyond = given.beyond.get(workspace, 0)
+            allocation.has_been_allocated = True
         self._levels = given.levels
         self._counted = before
 
@@ -194,8 +207,8 @@
         """Return what a home that is new to this entry is to know."""
         known = {
             workspace: limits[workspace]
-            for workspace, row in self._held.items()
-            if workspace in limits and row.is_known
+            for workspace, allocation in self._allocations.items()
+            if workspace in limits and allocation.has_been_allocated
         }
         return replace(
             self.brief_report(limits, now),
@@ -203,7 +216,9 @@
             counted=self._counted,
             recent=_by_age(self._own, limits, now),
             held={
-                workspace: max(0, self._free_alone(workspace, limit, now))
+                workspace: max(
+                    0, self._available_standalone(workspace, limit, now)
+                )
                 for workspace, limit in known.items()
             },
             entries=self.entries if known else 0,
@@ -217,23 +232,25 @@
             _by_age(self._returned, limits, now),
         )
 
-    def go_alone(self, limits: Limits, now: float) -> None:
+    def enter_standalone(self, limits: Limits, now: float) -> None:
         """Go on with what this entry holds, as no home is heard."""
-        for workspace, row in self._held.items():
+        for workspace, allocation in self._allocations.items():
             limit = limits.get(workspace)
-            if row.given is None or limit is None:
+            if allocation.given is None or limit is None:
                 continue
             recent = self._recent(workspace, limit, now)
-            row.owned = row.given + row.beyond + recent
-            row.owned_of = limit.total
-            row.assumed = Spending()
-            row.given = None
+            allocation.owned = allocation.given + allocation.beyond + recent
+            allocation.owned_limit_total = limit.total
+            allocation.assumed = Spending()
+            allocation.given = None
 
-    def _free_alone(self, workspace: str, limit: Limit, now: float) -> float:
+    def _available_standalone(
+        self, workspace: str, limit: Limit, now: float
+    ) -> float:
         """Return what may be spent here if no home is heard from now on."""
-        left = self.left(workspace, limit, now)
-        row = self._held[workspace]
-        return left if row.given is None else left + row.beyond
+        left = self.available(workspace, limit, now)
+        allocation = self._allocations[workspace]
+        return left if allocation.given is None else left + allocation.beyond
 
     def _net(self, workspace: str) -> float:
         spent = self.spent.get(workspace, 0)
@@ -246,20 +263,22 @@
             return recent
         return recent - returned.recent(limit.window, now)
 
-    def _row(self, workspace: str, limit: Limit, now: float) -> Held:
+    def _allocation_of(
+        self, workspace: str, limit: Limit, now: float
+    ) -> Allocation:
         """Return what is held; at first it is an assumed part of the limit.
 
         What an earlier process here may have spent counts as spent now: it
         may all have been in its last moment.
         """
-        row = self._held.get(workspace)
-        if row is None:
+        allocation = self._allocations.get(workspace)
+        if allocation is None:
             part = limit.total / max(1, self.entries)
-            row = Held(owned=part, owned_of=limit.total)
-            row.assumed.add(part * (1 - FIRST_FREE), now)
-            self._held[workspace] = row
+            allocation = Allocation(owned=part, owned_limit_total=limit.total)
+            allocation.assumed.add(part * (1 - STARTUP_PART), now)
+            self._allocations[workspace] = allocation
             self._own[workspace] = Spending()
-        return row
+        return allocation
 
 
 def _by_age(
@@ -269,7 +288,8 @@
 ) -> dict[str, ByAge]:
     """Return the spending of the window that is not nothing, by age."""
     return {
-        workspace: own.by_age(now)
-        for workspace, own in spending.items()
-        if workspace in limits and own.recent(limits[workspace].window, now)
+        workspace: own_spending.by_age(now)
+        for workspace, own_spending in spending.items()
+        if workspace in limits
+        and own_spending.recent(limits[workspace].window, now)
     }
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
@@ -16,7 +16,7 @@
 from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
 from spanfall_core.gateway.limits.entry_account import EntryAccount
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
-from spanfall_core.gateway.limits.taken_over import TakenOver
+from spanfall_core.gateway.limits.taken_over import PredecessorEstimate
 
 #: Part of what the platform tolerates beyond a limit that covers what silent
 #: entries hold, and what any entry may spend beyond its units once it is alone.
@@ -24,16 +24,16 @@
 #: Part of it by which the pool may fall below nothing for a request that is
 #: larger than what is left, so that large requests get their turn as small
 #: ones do. What remains is for the first units of restarted entries.
-BORROWED_PART = 0.35
+OVERDRAFT_PART = 0.35
 #: Seconds between two looks for entries that fell silent.
-LOOK_SECONDS = 0.1
+SILENCE_CHECK_SECONDS = 0.1
 #: Entries from which on a home that hears none of the others takes itself for
 #: cut off: it gives nothing more, not even to itself.
-SEVERAL_ENTRIES = 4
+ISOLATION_MIN_ENTRIES = 4
 
 
 @dataclass(slots=True)
-class LimitUse:
+class LimitUsage:
     """State where the units of one limit are."""
 
     total: float
@@ -42,24 +42,24 @@
     held: float
     beyond: float
     #: What those may still spend that are not heard.
-    hidden: float
+    silent_units: float
     #: What the tolerance covers of the last two.
     covered: float
 
     @property
     def pool(self) -> float:
         """Return the units that nobody spent or may hold."""
-        uncovered = max(0, self.hidden + self.beyond - self.covered)
+        uncovered = max(0, self.silent_units + self.beyond - self.covered)
         return self.total - self.spent - self.held - uncovered
 
     @property
     def level(self) -> float:
         """Return what is left, in the pool or held by entries heard."""
-        return self.total - self.spent - self.hidden
+        return self.total - self.spent - self.silent_units
 
-    def free_cover(self, live: int) -> float:
+    def free_beyond(self, live: int) -> float:
         """Return what one more entry may spend beyond what it holds, alone."""
-        free = self.covered - self.hidden
+        free = self.covered - self.silent_units
         return max(0, min(free / live, free - self.beyond))
 
 
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class SharedLevels:
+class QuotaAllocator:
     """Hold at the home what entries spent and hold."""
 
     tolerance: Tolerance = field(default_factory=Tolerance)
@@ -78,10 +78,10 @@
     _held: defaultdict[str, float] = field(default_factory=_sums)
     _beyond: defaultdict[str, float] = field(default_factory=_sums)
     _silent: dict[str, EntryAccount] = field(default_factory=dict)
-    _looked_at: float = float('-inf')
-    _taken: TakenOver | None = None
+    _checked_at: float = float('-inf')
+    _predecessor: PredecessorEstimate | None = None
 
-    def learn(
+    def apply_report(
         self,
         entry: str,
         report: EntrySpending,
@@ -96,20 +96,20 @@
         """
         account = self._entries.get(entry)
         if account is None:
-            account = self._meet(entry, report, limits, now)
+            account = self._add_entry(entry, report, limits, now)
         else:
-            self._hear_again(entry, report, limits, now)
-        account.silent_at = now + silent_after
+            self._update_entry(entry, report, limits, now)
+        account.report_deadline = now + silent_after
         self._count_held(account, 1)
         self.spending.count_returned(account.returned, -1)
-        account.learn_returned(report, now)
+        account.apply_returned(report, now)
         self.spending.count_returned(account.returned, 1)
 
-    def knows(self, entry: str) -> bool:
+    def has_reported(self, entry: str) -> bool:
         """Tell whether an entry was heard in this time as the home."""
         return entry in self._entries
 
-    def give(
+    def allocate(
         self,
         entry: str,
         limits: Limits,
@@ -121,17 +121,17 @@
         is left stays in the pool, for entries that ask for more. None: this
         home may be cut off, so it gives nothing.
         """
-        live = self._live(limits, now)
+        live = self._live_entries(limits, now)
         if not live:
             return None
         account = self._entries[entry]
         self._count_held(account, -1)
         levels: Units = {}
         for workspace, limit in limits.items():
-            use = self.use(workspace, limit, now)
-            part = max(0, use.pool) / (live + 1)
-            account.hold(workspace, part, use.free_cover(live))
-            levels[workspace] = use.level
+            usage = self.usage(workspace, limit, now)
+            part = max(0, usage.pool) / (live + 1)
+            account.record_allocation(workspace, part, usage.free_beyond(live))
+            levels[workspace] = usage.level
         self._count_held(account, 1)
         return GivenUnits(
             dict(account.given),
@@ -154,35 +154,37 @@
         """
         limit = limits.get(workspace)
         account = self._entries.get(entry)
-        live = self._live(limits, now)
+        live = self._live_entries(limits, now)
         if limit is None or account is None or not live:
             return 0
-        pool = self.use(workspace, limit, now).pool
-        borrowed = self.tolerance.beyond(limit) * BORROWED_PART
-        if pool <= 0 or pool - units < -borrowed:
+        pool = self.usage(workspace, limit, now).pool
+        overdraft = self.tolerance.beyond(limit) * OVERDRAFT_PART
+        if pool <= 0 or pool - units < -overdraft:
             return 0
         lent = units + max(0, pool - units) / (live + 1)
-        account.lend(workspace, lent)
+        account.add_lent(workspace, lent)
         if entry not in self._silent:
             self._held[workspace] += lent
         return lent
 
-    def use(self, workspace: str, limit: Limit, now: float) -> LimitUse:
+    def usage(self, workspace: str, limit: Limit, now: float) -> LimitUsage:
         """Return where the units of one limit are."""
-        return LimitUse(
+        return LimitUsage(
             limit.total,
             self.spending.recent(workspace, limit, now),
             self._held[workspace],
             self._beyond[workspace],
-            self._hidden(workspace, limit, now),
+            self._silent_units(workspace, limit, now),
             self.tolerance.beyond(limit) * COVERED_PART,
         )
 
-    def pressed(self, limits: Limits, now: float) -> dict[str, ByAge]:
+    def spending_to_record(
+        self, limits: Limits, now: float
+    ) -> dict[str, ByAge]:
         """Return the spending, by age, of workspaces that use much."""
-        return self.spending.pressed(limits, now)
+        return self.spending.spending_to_record(limits, now)
 
-    def _meet(
+    def _add_entry(
         self,
         entry: str,
         report: EntrySpending,
@@ -191,21 +193,21 @@
     ) -> EntryAccount:
         """Hear an entry for the first time in this time as the home."""
         node = entry.partition('/')[0]
-        self._forget_dead(node, now)
-        if self._taken is None:
-            self._taken = TakenOver(now)
-            self.spending.begin(limits, now)
-        self._taken.learn(report)
-        self.spending.is_assumed = not self._taken.entries
+        self._remove_dead(node, now)
+        if self._predecessor is None:
+            self._predecessor = PredecessorEstimate(now)
+            self.spending.assume_history(limits, now)
+        self._predecessor.apply_report(report)
+        self.spending.is_history_assumed = not self._predecessor.entries
         account = EntryAccount(node, now, now, report, dict(report.held))
         self._entries[entry] = account
         for workspace, by_age in report.recent.items():
             self.spending.recall(workspace, by_age, now)
-            account.own[workspace] = Spending()
-            account.own[workspace].recall(by_age, now)
+            account.own_spending[workspace] = Spending()
+            account.own_spending[workspace].recall(by_age, now)
         return account
 
-    def _hear_again(
+    def _update_entry(
         self,
         entry: str,
         report: EntrySpending,
@@ -216,44 +218,47 @@
         account = self._entries[entry]
         if self._silent.pop(entry, None) is None:
             self._count_held(account, -1)
-        account.silent_recent = None
-        account.heard_at = now
-        for workspace, units in account.learn(report).items():
+        account.recent_at_silence = None
+        account.last_report_at = now
+        for workspace, units in account.apply_report(report).items():
             limit = limits.get(workspace)
             if limit is not None:
                 self.spending.add(workspace, units, now)
-                own = account.own.setdefault(workspace, Spending())
-                own.spend(units, limit.window, now)
+                own_spending = account.own_spending.setdefault(
+                    workspace, Spending()
+                )
+                own_spending.spend(units, limit.window, now)
 
-    def _forget_dead(self, node: str, now: float) -> None:
+    def _remove_dead(self, node: str, now: float) -> None:
         """Take back what an earlier incarnation of a node holds."""
         dead = [
             key
             for key, account in self._entries.items()
-            if account.node == node or now - account.heard_at > FORGET_SECONDS
+            if account.node == node
+            or now - account.last_report_at > FORGET_SECONDS
         ]
         for key in dead:
             account = self._entries.pop(key)
             if self._silent.pop(key, None) is None:
                 self._count_held(account, -1)
 
-    def _live(self, limits: Limits, now: float) -> int:
+    def _live_entries(self, limits: Limits, now: float) -> int:
         """Return the entries that are heard; 0: this home may be cut off."""
-        if now - self._looked_at >= LOOK_SECONDS:
-            self._looked_at = now
+        if now - self._checked_at >= SILENCE_CHECK_SECONDS:
+            self._checked_at = now
             self._find_silent(limits, now)
         live = len(self._entries) - len(self._silent)
-        if live < 2 and len(self._entries) >= SEVERAL_ENTRIES:
+        if live < 2 and len(self._entries) >= ISOLATION_MIN_ENTRIES:
             return 0
         return live
 
     def _find_silent(self, limits: Limits, now: float) -> None:
         for key, account in self._entries.items():
-            is_silent = now > account.silent_at
+            is_silent = now > account.report_deadline
             if is_silent and key not in self._silent:
                 self._silent[key] = account
                 self._count_held(account, -1)
-                account.fall_silent(limits, now)
+                account.mark_silent(limits, now)
 
     def _count_held(self, account: EntryAccount, sign: int) -> None:
         for workspace, units in account.held.items():
@@ -261,13 +266,15 @@
         for name, beyond in account.beyond.items():
             self._beyond[name] += sign * beyond
 
-    def _hidden(self, workspace: str, limit: Limit, now: float) -> float:
+    def _silent_units(self, workspace: str, limit: Limit, now: float) -> float:
         """Return what those may still spend that are not heard."""
-        hidden = sum(
-            account.hidden(workspace, limit, now)
+        silent_units = sum(
+            account.silent_units(workspace, limit, now)
             for account in self._silent.values()
         )
-        if self._taken is not None:
+        if self._predecessor is not None:
             known = len(self._entries)
-            hidden += self._taken.unknown(workspace, limit, known, now)
-        return hidden
+            silent_units += self._predecessor.unknown(
+                workspace, limit, known, now
+            )
+        return silent_units
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
@@ -14,10 +14,10 @@
 
 
 @dataclass(slots=True)
-class TakenOver:
+class PredecessorEstimate:
     """Hold what a new home hears of the time of the home before."""
 
-    began_at: float
+    started_at: float
     #: Entries that shared the limits under the home before; 0: nobody knows.
     entries: int = 0
     #: What was left of each limit, by the lowest level that an entry heard.
@@ -25,7 +25,7 @@
     #: Spending of the entries heard that those levels know of.
     counted: Units = field(default_factory=dict)
 
-    def learn(self, report: EntrySpending) -> None:
+    def apply_report(self, report: EntrySpending) -> None:
         """Take the first report of an entry."""
         self.entries = max(self.entries, report.entries)
         for workspace, level in report.levels.items():
@@ -43,7 +43,7 @@
         self,
         workspace: str,
         limit: Limit,
-        heard: int,
+        reported: int,
         now: float,
     ) -> float:
         """Return the units that entries not heard may have spent or hold.
@@ -51,11 +51,11 @@
         Until a window has passed, what the dead spent counts. Those that are
         missing may be alive and hold their equal parts.
         """
-        passed = now - self.began_at
-        if not self.entries or passed > FORGET_SECONDS:
+        elapsed = now - self.started_at
+        if not self.entries or elapsed > FORGET_SECONDS:
             return 0
-        part = max(0, self.entries - heard) / self.entries
-        if passed >= limit.window:
+        part = max(0, self.entries - reported) / self.entries
+        if elapsed >= limit.window:
             return limit.total * part
         level = self.levels.get(workspace, limit.total)
         spent = limit.total - level - self.counted.get(workspace, 0)
--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
@@ -44,7 +44,7 @@
         """
         state = self.state
         now = state.timers.now()
-        state.quotas.learn_lent(message.workspace, message.units, now)
+        state.quotas.apply_lent(message.workspace, message.units, now)
         self._questions.learn(message.number, message.units)
 
     async def obtain(self, workspace: str, units: float) -> bool:
@@ -67,7 +67,7 @@
         if state.tenure is not None:
             now = state.timers.now()
             lent = state.lend_units(state.entry_key, workspace, missing, now)
-            state.quotas.learn_lent(workspace, lent, now)
+            state.quotas.apply_lent(workspace, lent, now)
             return LENT if lent else NONE_LEFT
         question = await self._questions.ask(
             lambda number: UnitsRequest(
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
@@ -192,7 +192,7 @@
     limit = state.limits_at(now)[workspace.name]
     if state.quotas.try_spend(workspace.name, limit, units, now):
         return
-    left = state.quotas.left(workspace.name, limit, now)
+    left = state.quotas.available(workspace.name, limit, now)
     missing = (units - left) / workspace.rate
     raise UnitsMissingError(
         workspace.name,
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
@@ -14,7 +14,7 @@
     RECORDED_PART,
     FleetSpending,
 )
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 
 from spanfall_node.gateway.net.ports import Write
 from spanfall_node.gateway.store.store_client import StoreClient, StoreError
@@ -55,7 +55,7 @@
         self._written: dict[str, float] | None = None
         self._written_at = float('-inf')
 
-    async def read(self) -> SharedLevels:
+    async def read(self) -> QuotaAllocator:
         """Return the levels that a new home starts with.
 
         Raises:
@@ -66,13 +66,13 @@
         tolerance = Tolerance(bounds.quota_overage, bounds.quota_allowance)
         if item is None:
             self._written = None
-            return SharedLevels(tolerance)
+            return QuotaAllocator(tolerance)
         record = decode_record(item, SpendingRecord)
         if record is None:
             # The least that a new home takes as spent stands for it.
             record = SpendingRecord({})
         self._written = _sums(record.spent)
-        return SharedLevels(tolerance, FleetSpending(record.spent))
+        return QuotaAllocator(tolerance, FleetSpending(record.spent))
 
     async def run(self) -> None:
         """Write the record while it is needed, until cancelled."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -25,7 +25,7 @@
 from spanfall_core.gateway.known.unit_reports import GivenUnits
 from spanfall_core.gateway.known.usage import UsageCounts
 from spanfall_core.gateway.limits.quotas import Quotas
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 from spanfall_core.gateway.routing.balance import PromptHistory
 from spanfall_core.gateway.routing.grants import EntryLoad, GrantBook
 from spanfall_core.gateway.routing.retry_budget import RetryBudget
@@ -70,7 +70,7 @@
     fleet: FleetState = field(default_factory=FleetState)
     crashes: CrashKnowledge = field(default_factory=CrashKnowledge)
     limits_in_force: LimitsInForce = field(default_factory=LimitsInForce)
-    shared_levels: SharedLevels = field(default_factory=SharedLevels)
+    shared_levels: QuotaAllocator = field(default_factory=QuotaAllocator)
     #: As the home: what runs everywhere.
     grant_book: GrantBook = field(default_factory=GrantBook)
     home: HomeRecord | None = None
@@ -166,7 +166,7 @@
     def learn_report(self, report: EntryReport, now: float) -> None:
         """Take over the report of an entry as the home."""
         self.fleet.learn(report, now)
-        self.shared_levels.learn(
+        self.shared_levels.apply_report(
             report.key,
             report.spending,
             self.limits_at(now),
@@ -176,7 +176,7 @@
 
     def own_report(self) -> EntryReport:
         """Return what this node, as the home, is to know of itself."""
-        is_known = self.shared_levels.knows(self.entry_key)
+        is_known = self.shared_levels.has_reported(self.entry_key)
         return self.report(to_new_home=not is_known)
 
     def give_units(self, entry: str, now: float) -> GivenUnits | None:
@@ -187,7 +187,7 @@
         """
         if not is_giver(self.tenure, now):
             return None
-        return self.shared_levels.give(entry, self.limits_at(now), now)
+        return self.shared_levels.allocate(entry, self.limits_at(now), now)
 
     def lend_units(
         self,
@@ -211,9 +211,9 @@
         """Take over the units that the home gives after a report."""
         limits = self.limits_at(now)
         if given is None:
-            self.quotas.go_alone(limits, now)
+            self.quotas.enter_standalone(limits, now)
             return
-        self.quotas.learn_given(given, report.spending, limits, now)
+        self.quotas.apply_given(given, report.spending, limits, now)
 
     def follow_home(self, home: HomeRecord, now: float) -> None:
         """Take another node as the home, unless it is an earlier one."""
@@ -248,12 +248,12 @@
         """Go on alone: nobody tells what the other entries do."""
         self.note_home(None)
         now = self.timers.now()
-        self.quotas.go_alone(self.limits_at(now), now)
+        self.quotas.enter_standalone(self.limits_at(now), now)
         self.loads.forget_others()
 
     def pressed(self, now: float) -> dict[str, list[float]]:
         """Return what workspaces spent that use much of their limits."""
-        return self.shared_levels.pressed(self.limits_at(now), now)
+        return self.shared_levels.spending_to_record(self.limits_at(now), now)
 
     def limits_at(self, now: float) -> dict[str, Limit]:
         """Return the limits of workspaces that bind now."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -83,13 +83,13 @@
         """Give permits as a home that begins: there are none yet."""
         self.permits = Permits()
         for lifetime, rate in self.table.rates.items():
-            self.permits.follow(lifetime, rate, now)
+            self.permits.set_rate(lifetime, rate, now)
 
     def forget(self, lifetime: Lifetime, now: float) -> None:
         """Drop what an upstream said that is over for good."""
         self.table.forget(lifetime)
         self.untold.pop(lifetime, None)
-        self.permits.follow(lifetime, None, now)
+        self.permits.set_rate(lifetime, None, now)
 
     def _follow(self, lifetime: Lifetime, now: float) -> None:
-        self.permits.follow(lifetime, self.table.rates.get(lifetime), now)
+        self.permits.set_rate(lifetime, self.table.rates.get(lifetime), now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -143,7 +143,7 @@
     if choice is None:
         return None
     lifetime = choice.upstream.lifetime
-    is_permit = state.words.permits.take(lifetime, now)
+    is_permit = state.words.permits.acquire(lifetime, now)
     prefixes = state.granted_prompts.prefixes
     prefixes.remember(lifetime, request.ask.parts)
     grant = Grant(
--- a/tests/limit_checker.py
+++ b/tests/limit_checker.py
@@ -20,7 +20,7 @@
     units: float
 
 
-def sums_of_spans(
+def sums_by_window(
     runs: Iterable[Run],
     window: float,
 ) -> Iterator[tuple[float, float]]:
@@ -35,18 +35,18 @@
         yield run.ran_at, total
 
 
-def most_in_a_span(runs: Iterable[Run], window: float) -> float:
+def max_in_window(runs: Iterable[Run], window: float) -> float:
     """Return the most units that were both sent and run within a window."""
-    return max((units for _, units in sums_of_spans(runs, window)), default=0)
+    return max((units for _, units in sums_by_window(runs, window)), default=0)
 
 
-def most_beyond(
+def max_excess(
     runs: Iterable[Run],
     window: float,
     allowed: Callable[[float], float],
 ) -> float:
     """Return by how much a span passes what is allowed at its end."""
-    sums = sums_of_spans(runs, window)
+    sums = sums_by_window(runs, window)
     return max((units - allowed(end) for end, units in sums), default=0)
 
 
--- a/tests/named_limit_checker.py
+++ b/tests/named_limit_checker.py
@@ -10,34 +10,34 @@
 
 #: Seconds of the span that is bounded, and the bound: so many times the limit,
 #: and so many requests besides.
-SPAN = 4.0
-TIMES = 1.5
-BESIDES = 5
+WINDOW_SECONDS = 4.0
+LIMIT_FACTOR = 1.5
+EXTRA_REQUESTS = 5
 #: Seconds after it passed the answer on from which on an entry is told.
-TOLD_AFTER = 0.5
+LIMIT_KNOWN_AFTER = 0.5
 
 
 def allowed(rate: float) -> float:
     """Return the requests that a span may hold."""
-    return TIMES * rate * SPAN + BESIDES
+    return LIMIT_FACTOR * rate * WINDOW_SECONDS + EXTRA_REQUESTS
 
 
-def arrived_from_told(
+def arrivals_after_limit(
     arrivals: Sequence[Arrival],
     passed_on: Mapping[str, float],
 ) -> list[float]:
     """Return when requests came from entries that had been told."""
-    told = arrived_after(arrivals, passed_on, TOLD_AFTER)
-    return sorted(one.at for one in told)
+    informed = arrived_after(arrivals, passed_on, LIMIT_KNOWN_AFTER)
+    return sorted(one.at for one in informed)
 
 
-def most_in_a_span(times: Sequence[float], binds_from: float) -> int:
+def max_in_window(times: Sequence[float], enforced_from: float) -> int:
     """Return the most requests of a span that ends when the limit binds."""
     return max(
         (
-            sum(end - SPAN < at <= end for at in times)
+            sum(end - WINDOW_SECONDS < at <= end for at in times)
             for end in times
-            if end >= binds_from
+            if end >= enforced_from
         ),
         default=0,
     )
--- a/tests/quota_events.py
+++ b/tests/quota_events.py
@@ -2,55 +2,55 @@
 
 from functools import partial
 
-from quota_traffic import LARGEST, mixed_sizes
+from quota_traffic import LARGEST_REQUEST_UNITS, mixed_sizes
 
 
-def _demand(world, numbers, times):
-    world.demand = world.limit.rate / 1.8 * times
+def _demand(simulation, node_numbers, times):
+    simulation.demand = simulation.limit.rate / 1.8 * times
 
 
-def _cut(world, numbers):
-    world.cut(*numbers)
+def _cut(simulation, node_numbers):
+    simulation.cut(*node_numbers)
 
 
-def _freeze(world, numbers):
-    world.freeze(*numbers)
+def _freeze(simulation, node_numbers):
+    simulation.freeze(*node_numbers)
 
 
-def _kill(world, numbers):
-    world.kill(*numbers)
+def _kill(simulation, node_numbers):
+    simulation.kill(*node_numbers)
 
 
-def _kill_all(world, numbers):
-    world.kill(*range(world.entries))
+def _kill_all(simulation, node_numbers):
+    simulation.kill(*range(simulation.entries))
 
 
-def _heal(world, numbers):
-    world.heal()
+def _heal(simulation, node_numbers):
+    simulation.heal()
 
 
-def _hand_over(world, numbers):
-    world.hand_over(*numbers)
+def _hand_over(simulation, node_numbers):
+    simulation.hand_over(*node_numbers)
 
 
-def _lose_store(world, numbers):
-    world.store_is_away = True
+def _lose_store(simulation, node_numbers):
+    simulation.store_is_away = True
 
 
-def _be_slow(world, numbers):
-    world.store.steps = len(numbers)
+def _slow_store(simulation, node_numbers):
+    simulation.store.steps = len(node_numbers)
 
 
-def _change_limit(world, numbers, part):
-    world.change_limit(part)
+def _change_limit(simulation, node_numbers, part):
+    simulation.change_limit(part)
 
 
-def _ask_large(world, numbers):
-    world.sizes = lambda: LARGEST
+def _send_large(simulation, node_numbers):
+    simulation.sizes = lambda: LARGEST_REQUEST_UNITS
 
 
-def _ask_mixed(world, numbers):
-    world.sizes = mixed_sizes(len(numbers))
+def _send_mixed(simulation, node_numbers):
+    simulation.sizes = mixed_sizes(len(node_numbers))
 
 
 #: Each takes the world and the numbers of the nodes that it may concern.
@@ -64,9 +64,9 @@
     'heal': _heal,
     'hand over': _hand_over,
     'lose the store': _lose_store,
-    'be slow': _be_slow,
+    'be slow': _slow_store,
     'raise': partial(_change_limit, part=2),
     'lower': partial(_change_limit, part=0.5),
-    'large requests': _ask_large,
-    'mixed requests': _ask_mixed,
+    'large requests': _send_large,
+    'mixed requests': _send_mixed,
 }
--- a/tests/quota_nodes.py
+++ b/tests/quota_nodes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from quota_traffic import Fate
+from quota_traffic import Outcome
 from spanfall_core.gateway.known.limits import Limit, LimitsInForce
 from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
 from spanfall_core.gateway.limits.quotas import Quotas
@@ -33,38 +33,38 @@
     limits: LimitsInForce = field(default_factory=LimitsInForce)
     configured: Limit = LIMIT
     #: Step at which it learns the newest limit.
-    learns_at: int = 0
-    lives: int = 0
+    config_applied_at: int = 0
+    incarnation: int = 0
     #: Steps since it was cut off, frozen or killed; None: it is not.
     cut: int | None = None
     frozen: int | None = None
     dead: int | None = None
     #: Step until which it takes a home that handed over for the home.
-    hears_at: int = 0
+    handover_seen_at: int = 0
     #: Epoch of the home that knows it.
-    follows: int = 0
+    known_epoch: int = 0
     table: Table | None = None
 
     @property
     def key(self):
         """Name this life of the node."""
-        return f'{self.name}/{self.lives}'
+        return f'{self.name}/{self.incarnation}'
 
     @property
-    def runs(self):
+    def is_running(self):
         """Tell whether its process runs."""
         return self.dead is None and self.frozen is None
 
     @property
-    def is_reached(self):
+    def is_reachable(self):
         """Tell whether the others reach this node."""
-        return self.cut is None and self.runs
+        return self.cut is None and self.is_running
 
     def limits_at(self, now):
         """Return the limits that bind here."""
         return self.limits.at({'large': self.configured}, now)
 
-    def pass_time(self):
+    def advance(self):
         """Let a step pass."""
         if self.cut is not None:
             self.cut += 1
@@ -75,12 +75,12 @@
             if self.dead >= RESTART_STEPS:
                 self.dead = None
 
-    def die(self, quotas):
+    def kill(self, quotas):
         """Begin another life, which knows nothing of this one."""
         self.dead = 0
         self.frozen = None
-        self.lives += 1
-        self.follows = 0
+        self.incarnation += 1
+        self.known_epoch = 0
         self.table = None
         self.quotas = quotas
         self.limits = LimitsInForce()
@@ -89,35 +89,35 @@
         """Be reached again; a long freeze has cost it the link."""
         self.cut = None
         if self.frozen is not None and self.frozen >= link_steps:
-            self.go_alone(now)
+            self.enter_standalone(now)
         self.frozen = None
 
-    def take_table(self, entries, now):
+    def apply_table(self, entries, now):
         """Take over the table that has arrived."""
         table = self.table
         self.table = None
         limits = self.limits_at(now)
         if table.given is None:
-            self.quotas.go_alone(limits, now)
+            self.quotas.enter_standalone(limits, now)
             return
         self.quotas.entries = entries
-        self.quotas.learn_given(table.given, table.reported, limits, now)
+        self.quotas.apply_given(table.given, table.reported, limits, now)
 
-    def go_alone(self, now):
+    def enter_standalone(self, now):
         """Find that no home is heard."""
         self.table = None
-        self.follows = 0
-        self.quotas.go_alone(self.limits_at(now), now)
+        self.known_epoch = 0
+        self.quotas.enter_standalone(self.limits_at(now), now)
 
 
 @dataclass(slots=True, order=True)
-class Waiting:
+class PendingRequest:
     """Hold an admitted request until it runs or is refused."""
 
     due: int
     order: int
     node: Node = field(compare=False)
-    fate: Fate = field(compare=False)
+    outcome: Outcome = field(compare=False)
     sent_at: float = field(compare=False)
     units: float = field(compare=False)
     #: Life of the node that admitted it.
--- a/tests/quota_requests.py
+++ b/tests/quota_requests.py
@@ -6,9 +6,9 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from limit_checker import Run, most_in_a_span
-from quota_nodes import WINDOW, Node, Waiting
-from quota_traffic import Fate, equal_sizes, run_at_once
+from limit_checker import Run, max_in_window
+from quota_nodes import WINDOW, Node, PendingRequest
+from quota_traffic import Outcome, equal_sizes, run_immediately
 
 STEP = 0.05
 #: Seconds for which a request waits for units that it lacks, as
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Asking:
+class UnadmittedRequest:
     """Hold a request that lacks units and asks again."""
 
     node: Node
@@ -27,13 +27,13 @@
 
 
 @dataclass(slots=True)
-class RequestWorld:
+class RequestSimulation:
     """Draw ``demand`` units a second in all; note what ran and when."""
 
     entries: int
     demand: float
     sizes: Callable[[], float] = field(default_factory=equal_sizes)
-    fates: Callable[[], Fate] = field(default_factory=run_at_once)
+    outcomes: Callable[[], Outcome] = field(default_factory=run_immediately)
     step: int = 0
     runs: list[Run] = field(default_factory=list)
     ran: deque = field(default_factory=deque)
@@ -41,8 +41,8 @@
     refused: int = 0
     _due: dict[str, float] = field(default_factory=dict)
     _next: dict[str, float] = field(default_factory=dict)
-    _waiting: list[Waiting] = field(default_factory=list)
-    _asking: list[Asking] = field(default_factory=list)
+    _pending: list[PendingRequest] = field(default_factory=list)
+    _unadmitted: list[UnadmittedRequest] = field(default_factory=list)
     _order: count = field(default_factory=count)
 
     @property
@@ -50,9 +50,9 @@
         return self.step * STEP
 
     @property
-    def most_ran(self):
+    def max_units_run(self):
         """Return the most units that ran in a window."""
-        return most_in_a_span(self.runs, WINDOW)
+        return max_in_window(self.runs, WINDOW)
 
     def serve(self, node: Node, try_spend):
         """Admit the requests of one step, as far as units are to be had."""
@@ -64,55 +64,59 @@
                 break
             due -= size
             del self._next[name]
-            self._ask(Asking(node, node.key, size, self.now), try_spend)
+            self._try_admit(
+                UnadmittedRequest(node, node.key, size, self.now), try_spend
+            )
         self._due[name] = due
 
-    def ask_again(self, try_spend):
+    def retry_unadmitted(self, try_spend):
         """Let those ask once more that lacked units a moment ago."""
-        asking = self._asking
-        self._asking = []
-        for waiting in asking:
-            if waiting.node.key == waiting.key and waiting.node.runs:
-                self._ask(waiting, try_spend)
-
-    def _ask(self, asking, try_spend):
-        if try_spend(asking.node, asking.size):
+        unadmitted = self._unadmitted
+        self._unadmitted = []
+        for request in unadmitted:
+            if request.node.key == request.key and request.node.is_running:
+                self._try_admit(request, try_spend)
+
+    def _try_admit(self, request, try_spend):
+        if try_spend(request.node, request.size):
             self.admitted += 1
-            self._begin(asking.node, asking.size, asking.sent_at)
-        elif self.now - asking.sent_at < ADMIT_SECONDS:
-            self._asking.append(asking)
+            self._start(request.node, request.size, request.sent_at)
+        elif self.now - request.sent_at < ADMIT_SECONDS:
+            self._unadmitted.append(request)
         else:
             self.refused += 1
 
-    def _begin(self, node, size, sent_at):
-        fate = self.fates()
-        due = self.step + fate.steps
-        waiting = Waiting(due, next(self._order), node, fate, sent_at, size)
-        heappush(self._waiting, waiting)
-        self.end_waits()
+    def _start(self, node, size, sent_at):
+        outcome = self.outcomes()
+        due = self.step + outcome.steps
+        pending = PendingRequest(
+            due, next(self._order), node, outcome, sent_at, size
+        )
+        heappush(self._pending, pending)
+        self.finish_due()
 
-    def end_waits(self):
+    def finish_due(self):
         """Let those run, or be refused, that have waited long enough."""
-        while self._waiting and self._waiting[0].due <= self.step:
-            waiting = heappop(self._waiting)
-            if waiting.node.key != waiting.key:
+        while self._pending and self._pending[0].due <= self.step:
+            pending = heappop(self._pending)
+            if pending.node.key != pending.key:
                 continue
-            if waiting.fate.is_refused:
-                self._refuse(waiting)
+            if pending.outcome.is_refused:
+                self._refuse(pending)
                 continue
-            run = Run(waiting.sent_at, self.now, waiting.units)
+            run = Run(pending.sent_at, self.now, pending.units)
             self.runs.append(run)
             self.ran.append((run.ran_at, run.units))
         while self.ran and self.ran[0][0] <= self.now - WINDOW:
             self.ran.popleft()
 
-    def _refuse(self, waiting):
+    def _refuse(self, pending):
         """Refuse an admitted request that no upstream ran."""
-        node = waiting.node
+        node = pending.node
         node.quotas.give_back(
             'large',
             node.limits_at(self.now)['large'],
-            waiting.units,
-            waiting.sent_at,
+            pending.units,
+            pending.sent_at,
             self.now,
         )
--- a/tests/quota_store.py
+++ b/tests/quota_store.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class PendingRecord:
     """Hold a record that is under way to the store."""
 
     step: int
@@ -20,21 +20,21 @@
     #: busy.
     steps: int = 0
     record: dict = field(default_factory=dict)
-    _under_way: Sent | None = None
+    _pending: PendingRecord | None = None
 
     @property
     def is_busy(self):
         """Tell whether a record is under way."""
-        return self._under_way is not None
+        return self._pending is not None
 
     def send(self, sent):
         """Send a record."""
-        self._under_way = sent
+        self._pending = sent
 
-    def take(self, step):
+    def take_arrived(self, step):
         """Return the record that arrives, if one does."""
-        sent = self._under_way
+        sent = self._pending
         if sent is None or step < sent.step + self.steps:
             return None
-        self._under_way = None
+        self._pending = None
         return sent
--- a/tests/quota_traffic.py
+++ b/tests/quota_traffic.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 from random import Random
 
-REQUEST = 12_000
+REQUEST_UNITS = 12_000
 #: The largest request that a small workspace of the deployments sends: six
 #: of them are its whole limit.
-LARGEST = 70_000
+LARGEST_REQUEST_UNITS = 70_000
 
 
 def equal_sizes() -> Callable[[], float]:
     """Return a source of requests that are all of one size."""
-    return lambda: REQUEST
+    return lambda: REQUEST_UNITS
 
 
 def mixed_sizes(seed: int) -> Callable[[], float]:
@@ -21,13 +21,15 @@
 
     def size() -> float:
         mean = draw.choices((1_100, 2_400, 12_000), (60, 25, 15))[0]
-        return round(min(LARGEST, mean * draw.lognormvariate(-0.5, 1)))
+        return round(
+            min(LARGEST_REQUEST_UNITS, mean * draw.lognormvariate(-0.5, 1))
+        )
 
     return size
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
+class Outcome:
     """State how an admitted request goes on."""
 
     #: Steps until it reaches an upstream or is refused.
@@ -35,17 +37,17 @@
     is_refused: bool = False
 
 
-def run_at_once() -> Callable[[], Fate]:
+def run_immediately() -> Callable[[], Outcome]:
     """Return a source of requests that run as they are admitted."""
-    return Fate
+    return Outcome
 
 
-def run_in_a_jam(seed: int, refused: float) -> Callable[[], Fate]:
+def run_after_queueing(seed: int, refused: float) -> Callable[[], Outcome]:
     """Return a source of requests that wait; a part is refused at last."""
     draw = Random(seed)
 
-    def fate() -> Fate:
+    def outcome() -> Outcome:
         steps = min(200, int(draw.expovariate(1 / 25)))
-        return Fate(steps, draw.random() < refused)
+        return Outcome(steps, draw.random() < refused)
 
-    return fate
+    return outcome
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -3,33 +3,33 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from limit_checker import most_beyond
+from limit_checker import max_excess
 from quota_nodes import LIMIT, WINDOW, Node, Table
-from quota_requests import STEP, RequestWorld
-from quota_store import RecordStore, Sent
-from quota_traffic import REQUEST
+from quota_requests import STEP, RequestSimulation
+from quota_store import PendingRecord, RecordStore
+from quota_traffic import REQUEST_UNITS
 from spanfall_core.gateway.known.limits import Limit, Tolerance
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
 from spanfall_core.gateway.limits.quotas import Quotas
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 
 __all__ = (
     'LIMIT',
     'LIMITS',
-    'MOST',
-    'REQUEST',
-    'SMALL',
+    'MAX_UNITS',
+    'REQUEST_UNITS',
+    'SMALL_LIMIT',
     'TOLERANCE',
     'WINDOW',
-    'QuotaWorld',
+    'QuotaSimulation',
 )
 
 LIMITS = {'large': LIMIT}
 #: A small workspace of the deployments.
-SMALL = Limit(rate=36_000, burst=126_420, window=WINDOW)
+SMALL_LIMIT = Limit(rate=36_000, burst=126_420, window=WINDOW)
 #: What the platform tolerates beyond a limit.
 TOLERANCE = Tolerance(part=0.1, units=140_000)
-MOST = LIMIT.total * (1 + TOLERANCE.part) + TOLERANCE.units
+MAX_UNITS = LIMIT.total * (1 + TOLERANCE.part) + TOLERANCE.units
 
 REPORT_STEPS = 5
 #: Steps until an entry finds that its link is dead, as ANSWER_SECONDS.
@@ -41,13 +41,13 @@
 #: pressure uses each, as quota_record.LOOK_PERIOD.
 RECORD_STEPS = 5
 #: Most steps until an entry hears that the home has handed over.
-HEAR_STEPS = 20
+HANDOVER_NOTICE_STEPS = 20
 #: Most steps until a node in touch has a new configuration in force.
 APPLY_STEPS = 40
 
 
 @dataclass(slots=True)
-class QuotaWorld(RequestWorld):
+class QuotaSimulation(RequestSimulation):
     """Play a fleet; it gets ``demand`` units a second in all."""
 
     limit: Limit = LIMIT
@@ -56,15 +56,15 @@
     seed: int = 0
     epoch: int = 0
     home: Node | None = None
-    levels: SharedLevels | None = None
+    levels: QuotaAllocator | None = None
     store_is_away: bool = False
     store: RecordStore = field(default_factory=RecordStore)
-    without_home: int = 0
-    without_store: int = 0
+    steps_without_home: int = 0
+    steps_without_store: int = 0
     nodes: list[Node] = field(default_factory=list)
     #: Limits of before, with the time until which a node still held to each.
-    earlier: list[list] = field(default_factory=list)
-    _settling: list[list] = field(default_factory=list)
+    earlier_limits: list[list] = field(default_factory=list)
+    _rolling_out: list[list] = field(default_factory=list)
     _draw: Random = field(default_factory=Random)
 
     def __post_init__(self):
@@ -76,16 +76,16 @@
         self._become_home(self.nodes[0])
 
     @property
-    def most_beyond(self):
+    def max_excess(self):
         """Return by how much a span passes what is tolerated."""
-        return most_beyond(self.runs, WINDOW, self._allowed)
+        return max_excess(self.runs, WINDOW, self._allowed)
 
-    def cut(self, *numbers):
-        for number in numbers:
+    def cut(self, *node_numbers):
+        for number in node_numbers:
             self.nodes[number].cut = 0
 
-    def freeze(self, *numbers):
-        for number in numbers:
+    def freeze(self, *node_numbers):
+        for number in node_numbers:
             self.nodes[number].frozen = 0
 
     def heal(self):
@@ -93,74 +93,78 @@
         for node in self.nodes:
             node.heal(LINK_STEPS, self.now)
 
-    def kill(self, *numbers):
-        for number in numbers:
+    def kill(self, *node_numbers):
+        for number in node_numbers:
             node = self.nodes[number]
-            node.die(Quotas(entries=self.entries))
+            node.kill(Quotas(entries=self.entries))
             if node is self.home:
                 self.home = None
 
-    def hand_over(self, *numbers):
+    def hand_over(self, *node_numbers):
         """Let the home act no more, and one of some nodes follow it at once.
 
         The others hear of it over the next second, and get no units from the
         home before meanwhile.
         """
-        able = [
+        eligible = [
             self.nodes[number]
-            for number in numbers
-            if self.nodes[number].is_reached
+            for number in node_numbers
+            if self.nodes[number].is_reachable
         ]
-        if self.home is None or not able or self.store_is_away:
+        if self.home is None or not eligible or self.store_is_away:
             return
-        self._become_home(able[0])
+        self._become_home(eligible[0])
         for node in self.nodes:
             if node is not self.home:
-                node.hears_at = self.step + self._draw.randint(1, HEAR_STEPS)
+                node.handover_seen_at = self.step + self._draw.randint(
+                    1, HANDOVER_NOTICE_STEPS
+                )
 
     def change_limit(self, part):
         """Put another limit in force; nodes in touch learn it in time."""
         row = [self.now, self.limit]
-        self.earlier.append(row)
-        self._settling.append(row)
+        self.earlier_limits.append(row)
+        self._rolling_out.append(row)
         rate = self.limit.rate * part
         burst = self.limit.burst * part
         self.limit = replace(self.limit, rate=rate, burst=burst)
         for node in self.nodes:
-            node.learns_at = self.step + self._draw.randint(1, APPLY_STEPS)
+            node.config_applied_at = self.step + self._draw.randint(
+                1, APPLY_STEPS
+            )
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP)):
             self.step += 1
             self._pass_time()
-            self._land_records()
-            self._lead()
-            self.end_waits()
-            self.ask_again(self._try_spend)
+            self._store_records()
+            self._run_home()
+            self.finish_due()
+            self.retry_unadmitted(self._try_spend)
             for serving in self.nodes:
-                if serving.runs:
+                if serving.is_running:
                     self.serve(serving, self._try_spend)
             for reporting in self.nodes:
                 self._report(reporting)
 
     def _pass_time(self):
         for node in self.nodes:
-            node.pass_time()
+            node.advance()
             if node.cut == LINK_STEPS and node is not self.home:
-                node.go_alone(self.now)
-            if node.is_reached and self.step >= node.learns_at:
+                node.enter_standalone(self.now)
+            if node.is_reachable and self.step >= node.config_applied_at:
                 node.configured = self.limit
         if all(row.configured == self.limit for row in self.nodes):
-            self._settling.clear()
-        for earlier in self._settling:
-            earlier[0] = self.now
+            self._rolling_out.clear()
+        for earlier_limits in self._rolling_out:
+            earlier_limits[0] = self.now
 
-    def _lead(self):
+    def _run_home(self):
         self._step_down()
         if self.home is None:
-            self._find_home()
+            self._elect_home()
         else:
-            self.without_home = 0
+            self.steps_without_home = 0
             self._record()
 
     def _step_down(self):
@@ -168,67 +172,67 @@
         home = self.home
         if home is None:
             return
-        self.without_store += 1
+        self.steps_without_store += 1
         if not self.store_is_away:
-            self.without_store = 0
-        waited = max(home.cut or 0, home.frozen or 0, self.without_store)
+            self.steps_without_store = 0
+        waited = max(home.cut or 0, home.frozen or 0, self.steps_without_store)
         if waited < LEASE_STEPS:
             return
-        if home.runs:
-            home.go_alone(self.now)
+        if home.is_running:
+            home.enter_standalone(self.now)
         self.home = None
 
     def _record(self):
-        is_due = self.step % RECORD_STEPS == 0 and self.home.is_reached
+        is_due = self.step % RECORD_STEPS == 0 and self.home.is_reachable
         if is_due and not self.store_is_away and not self.store.is_busy:
             limits = self.home.limits_at(self.now)
-            spent = self.levels.pressed(limits, self.now)
-            self.store.send(Sent(self.step, self.epoch, spent))
-            self._land_records()
+            spent = self.levels.spending_to_record(limits, self.now)
+            self.store.send(PendingRecord(self.step, self.epoch, spent))
+            self._store_records()
 
-    def _land_records(self):
+    def _store_records(self):
         """Let the store take what was sent to it, also of a home that died."""
-        sent = self.store.take(self.step)
+        sent = self.store.take_arrived(self.step)
         if sent and not self.store_is_away and sent.epoch == self.epoch:
             self.store.record = sent.spent
 
-    def _find_home(self):
-        self.without_home += 1
-        able = [node for node in self.nodes if node.is_reached]
-        if self.without_home == LINK_STEPS:
-            for lost in able:
-                lost.go_alone(self.now)
-        is_free = self.without_home >= SUCCESSOR_STEPS - LEASE_STEPS
-        if is_free and able and not self.store_is_away:
-            self._become_home(able[0])
+    def _elect_home(self):
+        self.steps_without_home += 1
+        eligible = [node for node in self.nodes if node.is_reachable]
+        if self.steps_without_home == LINK_STEPS:
+            for lost in eligible:
+                lost.enter_standalone(self.now)
+        is_free = self.steps_without_home >= SUCCESSOR_STEPS - LEASE_STEPS
+        if is_free and eligible and not self.store_is_away:
+            self._become_home(eligible[0])
 
     def _become_home(self, node):
         self.epoch += 1
         self.home = node
-        self.without_store = 0
-        self.levels = SharedLevels(
+        self.steps_without_store = 0
+        self.levels = QuotaAllocator(
             TOLERANCE,
             FleetSpending(self.store.record),
         )
 
     def _report(self, node):
-        if not node.runs:
+        if not node.is_running:
             return
-        if self.step < node.hears_at:
-            self._take_table(node)
+        if self.step < node.handover_seen_at:
+            self._apply_table(node)
             if self.step % REPORT_STEPS == 0:
-                node.go_alone(self.now)
+                node.enter_standalone(self.now)
             return
         # A cut home still hears itself; the others report to it no more.
         is_home = node is self.home
         if node.cut is not None and not is_home:
             return
-        self._take_table(node)
-        if self.home is None or not self.home.runs:
+        self._apply_table(node)
+        if self.home is None or not self.home.is_running:
             return
         if self.home.cut is not None and not is_home:
             return
-        is_new = node.follows != self.epoch
+        is_new = node.known_epoch != self.epoch
         if node.table is not None and not is_new:
             return
         if self.step % REPORT_STEPS and not is_new:
@@ -237,20 +241,20 @@
         report = node.quotas.brief_report(own_limits, self.now)
         if is_new:
             report = node.quotas.report(own_limits, self.now)
-        node.follows = self.epoch
+        node.known_epoch = self.epoch
         limits = self.home.limits_at(self.now)
-        self.levels.learn(node.key, report, limits, self.now)
+        self.levels.apply_report(node.key, report, limits, self.now)
         steps = 0 if is_home else self._draw.randint(0, self.transit)
         node.table = Table(
             self.step + steps,
-            self.levels.give(node.key, limits, self.now),
+            self.levels.allocate(node.key, limits, self.now),
             report,
         )
-        self._take_table(node)
+        self._apply_table(node)
 
-    def _take_table(self, node):
+    def _apply_table(self, node):
         if node.table is not None and self.step >= node.table.due:
-            node.take_table(self.entries, self.now)
+            node.apply_table(self.entries, self.now)
 
     def _try_spend(self, node, size):
         """Spend what is held; ask the home for what is missing."""
@@ -259,17 +263,21 @@
         if quotas.try_spend('large', limit, size, self.now):
             return True
         missing = quotas.missing('large', limit, size, self.now)
-        if not missing or not self._hears_home(node):
+        if not missing or not self._reaches_home(node):
             return False
         limits = self.home.limits_at(self.now)
         key = node.key
         lent = self.levels.lend(key, 'large', missing, limits, self.now)
-        quotas.learn_lent('large', lent, self.now)
+        quotas.apply_lent('large', lent, self.now)
         return quotas.try_spend('large', limit, size, self.now)
 
-    def _hears_home(self, node):
+    def _reaches_home(self, node):
         home = self.home
-        if home is None or not home.runs or node.follows != self.epoch:
+        if (
+            home is None
+            or not home.is_running
+            or node.known_epoch != self.epoch
+        ):
             return False
         return node is home or (node.cut is None and home.cut is None)
 
@@ -279,6 +287,6 @@
         A lower limit binds one window after it is in force everywhere.
         """
         since = end - 2 * WINDOW - APPLY_STEPS * STEP
-        limits = [row for until, row in self.earlier if until >= since]
+        limits = [row for until, row in self.earlier_limits if until >= since]
         total = max(limit.total for limit in (self.limit, *limits))
         return total * (1 + TOLERANCE.part) + TOLERANCE.units
--- a/tests/test_gateway_limit_promise.py
+++ b/tests/test_gateway_limit_promise.py
@@ -18,101 +18,103 @@
 from hypothesis import strategies as st
 from quota_nodes import LIMIT, WINDOW
 from quota_traffic import (
-    LARGEST,
-    Fate,
+    LARGEST_REQUEST_UNITS,
+    Outcome,
     mixed_sizes,
-    run_at_once,
-    run_in_a_jam,
+    run_after_queueing,
+    run_immediately,
 )
-from quota_world import SMALL, QuotaWorld
+from quota_world import SMALL_LIMIT, QuotaSimulation
 
 ENTRIES = 8
-USUAL = SMALL.rate / 1.8
-PRESSING = USUAL * 7.5
+NORMAL_DEMAND = SMALL_LIMIT.rate / 1.8
+HIGH_DEMAND = NORMAL_DEMAND * 7.5
 
 
-def small_world(seed=0, **fields):
+def small_simulation(seed=0, **fields):
     """Return a fleet before a workspace whose limit is few requests."""
     fields.setdefault('sizes', mixed_sizes(seed))
-    return QuotaWorld(
+    return QuotaSimulation(
         entries=ENTRIES,
-        demand=USUAL,
-        limit=SMALL,
+        demand=NORMAL_DEMAND,
+        limit=SMALL_LIMIT,
         transit=2,
         seed=seed,
         **fields,
     )
 
 
-def beyond_by_seed(calm, soonest, latest, strike):
+def excess_by_seed(normal_seconds, earliest, latest, inject_fault):
     """Let pressure begin after a calm time, then something befall the fleet.
 
     Return by how much what is tolerated was passed, for each seed.
     """
-    beyond = []
+    excess = []
     for seed in range(12):
-        world = small_world(seed)
-        world.run(calm)
-        world.demand = PRESSING
-        world.run(Random(seed).uniform(soonest, latest))
-        strike(world)
-        world.run(12)
-        beyond.append(world.most_beyond)
-    return beyond
+        simulation = small_simulation(seed)
+        simulation.run(normal_seconds)
+        simulation.demand = HIGH_DEMAND
+        simulation.run(Random(seed).uniform(earliest, latest))
+        inject_fault(simulation)
+        simulation.run(12)
+        excess.append(simulation.max_excess)
+    return excess
 
 
 def test_a_home_cut_off_under_a_small_limit():
     """Both sides of the cut spend what they hold, and no more."""
-    beyond = beyond_by_seed(2 * WINDOW, 0, 2, lambda world: world.cut(0, 1, 2))
-    assert max(beyond) <= 0, beyond
+    excess = excess_by_seed(
+        2 * WINDOW, 0, 2, lambda simulation: simulation.cut(0, 1, 2)
+    )
+    assert max(excess) <= 0, excess
 
 
 @pytest.mark.parametrize('before', [0.5, 0.9])
 def test_large_requests_when_little_is_left(before):
     """All entries begin one of the largest requests at the same moment."""
-    world = small_world(sizes=lambda: 1_000)
-    world.run(2 * WINDOW)
-    world.demand = PRESSING
-    world.run(WINDOW * before)
-    world.sizes = lambda: LARGEST
-    world.demand = ENTRIES * LARGEST * 20
-    world.run(1)
-    assert world.most_beyond <= 0
+    simulation = small_simulation(sizes=lambda: 1_000)
+    simulation.run(2 * WINDOW)
+    simulation.demand = HIGH_DEMAND
+    simulation.run(WINDOW * before)
+    simulation.sizes = lambda: LARGEST_REQUEST_UNITS
+    simulation.demand = ENTRIES * LARGEST_REQUEST_UNITS * 20
+    simulation.run(1)
+    assert simulation.max_excess <= 0
 
 
-def test_units_of_late_refusals():
+def test_late_refusals_return_units():
     """Requests are refused long after they were admitted."""
-    world = small_world(sizes=lambda: 10_000)
-    world.run(2 * WINDOW)
-    fates = repeat(Fate(80, is_refused=True), 40)
-    world.fates = lambda: next(fates, Fate())
-    world.demand = PRESSING
-    world.run(2 * WINDOW)
-    assert world.most_beyond <= 0
+    simulation = small_simulation(sizes=lambda: 10_000)
+    simulation.run(2 * WINDOW)
+    outcomes = repeat(Outcome(80, is_refused=True), 40)
+    simulation.outcomes = lambda: next(outcomes, Outcome())
+    simulation.demand = HIGH_DEMAND
+    simulation.run(2 * WINDOW)
+    assert simulation.max_excess <= 0
 
 
-def test_all_nodes_killed_as_pressure_begins():
+def test_all_nodes_killed_as_high_demand_begins():
     """The next home does not know what was spent in the last moment."""
-    beyond = beyond_by_seed(
+    excess = excess_by_seed(
         3 * WINDOW,
         0.3,
         3,
-        lambda world: world.kill(*range(ENTRIES)),
+        lambda simulation: simulation.kill(*range(ENTRIES)),
     )
-    assert max(beyond) <= 0, beyond
+    assert max(excess) <= 0, excess
 
 
 def test_all_nodes_killed_after_a_sudden_burst():
     """Too little was spent to be recorded, all of it in the last moment."""
-    world = small_world(sizes=lambda: 1_000)
-    world.demand = 0
-    world.run(2 * WINDOW)
-    world.demand = SMALL.total * 0.45
-    world.run(1)
-    world.kill(*range(ENTRIES))
-    world.demand = PRESSING
-    world.run(WINDOW)
-    assert world.most_beyond <= 0
+    simulation = small_simulation(sizes=lambda: 1_000)
+    simulation.demand = 0
+    simulation.run(2 * WINDOW)
+    simulation.demand = SMALL_LIMIT.total * 0.45
+    simulation.run(1)
+    simulation.kill(*range(ENTRIES))
+    simulation.demand = HIGH_DEMAND
+    simulation.run(WINDOW)
+    assert simulation.max_excess <= 0
 
 
 @pytest.mark.parametrize('entries', [8, 10, 77])
@@ -127,45 +129,47 @@
     the course of seed 3 passes the limit with records 0.8 s late.
     """
     seeds = 12 if entries < 77 else 2
-    worlds = (two_restarts(seed, entries, late) for seed in range(seeds))
-    assert max(world.most_beyond for world in worlds) <= 0
+    simulations = (
+        simulate_two_restarts(seed, entries, late) for seed in range(seeds)
+    )
+    assert max(simulation.max_excess for simulation in simulations) <= 0
 
 
-def two_restarts(seed, entries, late):
+def simulate_two_restarts(seed, entries, late):
     """Play the course with moments drawn from a seed."""
     draw = Random(seed)
-    world = QuotaWorld(
+    simulation = QuotaSimulation(
         entries=entries,
         demand=LIMIT.rate / 1.8,
         sizes=mixed_sizes(seed),
         transit=2,
         seed=seed,
     )
-    world.store.steps = late
-    world.run(WINDOW + draw.uniform(0, 3))
-    world.store_is_away = True
-    world.run(draw.uniform(3, 4.5))
-    world.store_is_away = False
-    world.run(draw.uniform(0, 1.5))
-    world.demand = LIMIT.rate / 1.8 * draw.uniform(4, 7.5)
-    world.run(draw.uniform(0.2, 2))
-    world.kill(*range(entries))
-    world.run(draw.uniform(3.2, 4.8))
-    world.kill(*range(entries))
-    world.run(10)
-    return world
-
-
-def test_a_home_that_hands_over_under_pressure():
+    simulation.store.steps = late
+    simulation.run(WINDOW + draw.uniform(0, 3))
+    simulation.store_is_away = True
+    simulation.run(draw.uniform(3, 4.5))
+    simulation.store_is_away = False
+    simulation.run(draw.uniform(0, 1.5))
+    simulation.demand = LIMIT.rate / 1.8 * draw.uniform(4, 7.5)
+    simulation.run(draw.uniform(0.2, 2))
+    simulation.kill(*range(entries))
+    simulation.run(draw.uniform(3.2, 4.8))
+    simulation.kill(*range(entries))
+    simulation.run(10)
+    return simulation
+
+
+def test_a_home_that_hands_over_under_high_demand():
     """Its units go on with their holders, and the next home hears of them."""
 
-    def hand_over(world):
-        world.hand_over(3)
-        world.run(1.5)
-        world.hand_over(5)
+    def hand_over(simulation):
+        simulation.hand_over(3)
+        simulation.run(1.5)
+        simulation.hand_over(5)
 
-    beyond = beyond_by_seed(2 * WINDOW, 0, 2, hand_over)
-    assert max(beyond) <= 0, beyond
+    excess = excess_by_seed(2 * WINDOW, 0, 2, hand_over)
+    assert max(excess) <= 0, excess
 
 
 EVENTS = st.lists(
@@ -181,12 +185,16 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.booleans(), EVENTS)
-def test_no_course_passes_the_limit(seed, waits, events):
+def test_no_event_sequence_exceeds_the_limit(seed, is_queueing, events):
     """Cuts, kills, freezes, jams, changed limits, a lost store, any order."""
-    fates = run_in_a_jam(seed, refused=0.3) if waits else run_at_once()
-    world = small_world(seed, fates=fates)
-    world.run(WINDOW)
-    for name, numbers, seconds in events:
-        quota_events.EVENTS[name](world, numbers)
-        world.run(seconds)
-    assert world.most_beyond <= 0
+    outcomes = (
+        run_after_queueing(seed, refused=0.3)
+        if is_queueing
+        else run_immediately()
+    )
+    simulation = small_simulation(seed, outcomes=outcomes)
+    simulation.run(WINDOW)
+    for name, node_numbers, seconds in events:
+        quota_events.EVENTS[name](simulation, node_numbers)
+        simulation.run(seconds)
+    assert simulation.max_excess <= 0
--- a/tests/test_gateway_named_limit.py
+++ b/tests/test_gateway_named_limit.py
@@ -16,10 +16,10 @@
 from arrivals import note_arrivals
 from gateway_world import ask, in_world
 from named_limit_checker import (
-    SPAN,
+    WINDOW_SECONDS,
     allowed,
-    arrived_from_told,
-    most_in_a_span,
+    arrivals_after_limit,
+    max_in_window,
 )
 from spanfall_node.gateway.upstreams.choosing import TURN_STEP
 from spanfall_standins.gateway.upstream import whole
@@ -27,13 +27,13 @@
 from test_gateway_succession import ending_gateway, is_home
 
 #: Seconds after the limit was named from which on it binds.
-CONTACT = 3.0
-PLAYED = CONTACT + SPAN + 1
+ENFORCED_AFTER = 3.0
+LOAD_SECONDS = ENFORCED_AFTER + WINDOW_SECONDS + 1
 #: Seconds between two requests of the callers of one entry.
-PAUSE = 0.08
+REQUEST_INTERVAL = 0.08
 ENTRIES = 4
 #: Part of the limit that callers who ask for more should get at least.
-USED = 0.5
+MIN_USED_PART = 0.5
 
 
 class Observer:
@@ -43,7 +43,7 @@
         self.arrivals = note_arrivals(upstream)
         self.passed_on = {}
         self.statuses = []
-        self.came_back_in = []
+        self.retry_after_seconds = []
 
     async def call(self, state, seconds):
         """Send requests to one entry for some seconds."""
@@ -55,18 +55,20 @@
                 number += 1
                 attempt = f'{entry}/{number}'
                 tasks.start_soon(self._ask, state, entry, attempt)
-                await anyio.sleep(PAUSE)
+                await anyio.sleep(REQUEST_INTERVAL)
 
     async def _ask(self, state, entry, attempt):
         answer = await ask(state, '/any/1', attempt=attempt)
         self.statuses.append(answer.status)
         if answer.status == 503:
-            self.came_back_in.append(float(answer.headers['retry-after']))
+            self.retry_after_seconds.append(
+                float(answer.headers['retry-after'])
+            )
         if 'takes-a-second' in answer.headers:
             self.passed_on.setdefault(entry, anyio.current_time())
 
-    def reached(self):
-        return arrived_from_told(self.arrivals, self.passed_on)
+    def informed_arrivals(self):
+        return arrivals_after_limit(self.arrivals, self.passed_on)
 
 
 def name_limit(upstreams, rate):
@@ -90,21 +92,21 @@
         upstreams = [await world.add_upstream(whole()) for _ in range(4)]
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
         observer, named_at = name_limit(upstreams[:1], rate)
-        await call_all(observer, gateways, PLAYED)
-        binds_from = named_at + CONTACT
-        times = observer.reached()
+        await call_all(observer, gateways, LOAD_SECONDS)
+        enforced_from = named_at + ENFORCED_AFTER
+        times = observer.informed_arrivals()
         assert len(observer.passed_on) > 1
-        assert most_in_a_span(times, binds_from) <= allowed(rate)
-        late = [one for one in observer.arrivals if one.at >= binds_from]
-        seconds = PLAYED - CONTACT
-        assert len(late) >= USED * rate * seconds
+        assert max_in_window(times, enforced_from) <= allowed(rate)
+        late = [one for one in observer.arrivals if one.at >= enforced_from]
+        seconds = LOAD_SECONDS - ENFORCED_AFTER
+        assert len(late) >= MIN_USED_PART * rate * seconds
         assert set(observer.statuses) == {200}
 
     play()
 
 
 @in_world
-async def test_who_finds_no_room_is_told_when_there_is(world):
+async def test_refused_callers_get_a_retry_after(world):
     """All that serve are limited, and the home ends in the midst of it."""
     rate = 3
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
@@ -112,24 +114,30 @@
         await wait_until(lambda: is_home(home))
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
         observer, named_at = name_limit(upstreams, rate)
-        await call_all(observer, gateways, CONTACT)
+        await call_all(observer, gateways, ENFORCED_AFTER)
         before = len(observer.arrivals)
         life.cancel()
-    assert before >= USED * rate * CONTACT
-    await call_all(observer, gateways, SPAN)
+    assert before >= MIN_USED_PART * rate * ENFORCED_AFTER
+    await call_all(observer, gateways, WINDOW_SECONDS)
     await wait_until(lambda: any(is_home(state) for state in gateways))
     before = len(observer.arrivals)
-    await call_all(observer, gateways, SPAN)
-    binds_from = named_at + CONTACT
-    assert most_in_a_span(observer.reached(), binds_from) <= allowed(rate)
-    assert len(observer.arrivals) - before >= USED * rate * SPAN
+    await call_all(observer, gateways, WINDOW_SECONDS)
+    enforced_from = named_at + ENFORCED_AFTER
+    assert max_in_window(
+        observer.informed_arrivals(), enforced_from
+    ) <= allowed(rate)
+    assert (
+        len(observer.arrivals) - before >= MIN_USED_PART * rate * WINDOW_SECONDS
+    )
     assert set(observer.statuses) == {200, 503}
-    turns = observer.came_back_in
-    assert all(TURN_STEP <= seconds <= SPAN + 1 for seconds in turns)
+    retry_after = observer.retry_after_seconds
+    assert all(
+        TURN_STEP <= seconds <= WINDOW_SECONDS + 1 for seconds in retry_after
+    )
 
 
 @in_world
-async def test_a_limit_that_is_taken_back_binds_no_more(world):
+async def test_a_withdrawn_limit_is_no_longer_enforced(world):
     upstream = await world.add_upstream(whole())
     gateways = [await world.add_gateway() for _ in range(2)]
     upstream.says = {'takes-a-second': '0.5'}
@@ -145,7 +153,7 @@
     while 200 not in statuses:
         answer = await ask(gateways[1], '/any/1', attempt='c')
         statuses.append(answer.status)
-        await anyio.sleep(PAUSE)
+        await anyio.sleep(REQUEST_INTERVAL)
     await wait_until(
         lambda: not any(one.words.table.rates for one in gateways),
     )
--- a/tests/test_gateway_permits.py
+++ b/tests/test_gateway_permits.py
@@ -5,73 +5,73 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from named_limit_checker import SPAN, allowed, most_in_a_span
+from named_limit_checker import WINDOW_SECONDS, allowed, max_in_window
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.limits.permits import (
     BURST,
-    LEAST_RATE,
-    LONGEST_WAIT,
+    MAX_WAIT_SECONDS,
+    MIN_RATE,
     Permits,
 )
 
 UPSTREAM = 'u-1'
 #: Longest time from a grant until its request arrives: that of a connection.
-LATE = 0.4
+MAX_DELAY = 0.4
 RATES = st.sampled_from((0, 0.05, 0.3, 1, 4.2, 20, 300))
 PAUSES = st.lists(st.floats(0.001, 3), min_size=1, max_size=60)
 
 
-def given_permits(permits, times):
+def acquire_permits(permits, times):
     """Return when a caller that asks at some times gets a permit."""
     sent = []
     for now in times:
         if UPSTREAM not in permits.withheld(now):
-            assert permits.take(UPSTREAM, now)
+            assert permits.acquire(UPSTREAM, now)
             sent.append(now)
     return sent
 
 
-def often(seconds, begin=0, step=0.01):
+def frequent_times(seconds, begin=0, step=0.01):
     return [begin + number * step for number in range(int(seconds / step))]
 
 
 def new_home(rate, now):
     permits = Permits()
-    permits.follow(UPSTREAM, rate, now)
+    permits.set_rate(UPSTREAM, rate, now)
     return permits
 
 
-@given(RATES, PAUSES, st.lists(st.floats(0, LATE), min_size=1, max_size=9))
-def test_homes_in_turn_pass_no_limit(rate, tenures, delays):
+@given(RATES, PAUSES, st.lists(st.floats(0, MAX_DELAY), min_size=1, max_size=9))
+def test_successive_homes_stay_within_the_limit(rate, tenures, delays):
     """Each begins with no permit and knows nothing of the one before."""
     arrivals = []
     ends = list(accumulate(tenures, initial=0))
     for begin, end in zip(ends, ends[1:], strict=False):
-        times = often(end - begin, begin, step=0.05)
-        sent = given_permits(new_home(rate, begin), times)
+        times = frequent_times(end - begin, begin, step=0.05)
+        sent = acquire_permits(new_home(rate, begin), times)
         arrivals.extend(
             at + delays[number % len(delays)] for number, at in enumerate(sent)
         )
-    assert most_in_a_span(sorted(arrivals), 0) <= allowed(rate)
+    assert max_in_window(sorted(arrivals), 0) <= allowed(rate)
 
 
 @given(RATES, st.lists(st.floats(0.5, 60), min_size=1, max_size=9))
-def test_a_rest_saves_up_next_to_nothing(rate, rests):
+def test_idle_time_accrues_only_a_small_burst(rate, idle_periods):
     """All that come at once after a rest find the limit too."""
     permits = new_home(rate, 0)
     sent = []
     now = 0
-    for rest in rests:
-        now += rest
-        sent.extend(given_permits(permits, often(1, now)))
+    for idle in idle_periods:
+        now += idle
+        sent.extend(acquire_permits(permits, frequent_times(1, now)))
         now += 1
-    assert most_in_a_span(sent, 0) <= allowed(rate)
+    assert max_in_window(sent, 0) <= allowed(rate)
 
 
 @pytest.mark.parametrize('rate', (0.3, 1, 4.2, 20))
-def test_callers_get_what_an_upstream_takes(rate):
+def test_callers_get_the_full_rate(rate):
     seconds = 60
-    sent = given_permits(new_home(rate, 0), often(seconds))
+    sent = acquire_permits(new_home(rate, 0), frequent_times(seconds))
     assert len(sent) == pytest.approx(rate * seconds, abs=BURST)
 
 
@@ -82,26 +82,30 @@
     At 1e7 s, four months, a home looked for it for ever.
     """
     rate = 300
-    sent = given_permits(new_home(rate, uptime), often(5, uptime, 0.0007))
+    sent = acquire_permits(
+        new_home(rate, uptime), frequent_times(5, uptime, 0.0007)
+    )
     assert len(sent) == pytest.approx(rate * 5, rel=0.02)
 
 
-def test_one_that_takes_none_is_asked_rarely():
+def test_an_upstream_with_rate_zero_is_probed_rarely():
     """Only its next answer can tell that it takes requests again."""
-    sent = given_permits(new_home(0, 0), often(100))
-    assert len(sent) == pytest.approx(100 * LEAST_RATE, abs=1)
+    sent = acquire_permits(new_home(0, 0), frequent_times(100))
+    assert len(sent) == pytest.approx(100 * MIN_RATE, abs=1)
 
 
 @given(st.lists(RATES, min_size=2, max_size=20), st.floats(0.1, 2))
-def test_a_limit_that_changes_binds_as_it_is(rates, each):
+def test_a_changing_limit_is_enforced(rates, each):
     """Named anew each second, and below one in four seconds."""
     permits = Permits()
     sent = []
     for number, rate in enumerate(rates):
         begin = number * each
-        permits.follow(UPSTREAM, rate, begin)
-        sent.extend(given_permits(permits, often(each, begin, step=0.05)))
-        first = begin - SPAN
+        permits.set_rate(UPSTREAM, rate, begin)
+        sent.extend(
+            acquire_permits(permits, frequent_times(each, begin, step=0.05))
+        )
+        first = begin - WINDOW_SECONDS
         named = [
             known
             for at, known in enumerate(rates[: number + 1])
@@ -114,21 +118,21 @@
 def test_without_a_limit_no_permit_is_needed():
     permits = new_home(0, 0)
     assert permits.withheld(0) == {UPSTREAM}
-    permits.follow(UPSTREAM, None, 1)
+    permits.set_rate(UPSTREAM, None, 1)
     assert not permits.withheld(1)
-    assert not permits.take(UPSTREAM, 1)
+    assert not permits.acquire(UPSTREAM, 1)
 
 
-def test_callers_come_back_one_after_the_other():
+def test_retries_are_spread_over_time():
     permits = Permits()
     rows = [
         ListedUpstream(f'u-{number}', 'llm', '', 'north', slots=4)
         for number in range(2)
     ]
     for row in rows:
-        permits.follow(row.lifetime, 2, 0)
+        permits.set_rate(row.lifetime, 2, 0)
     waits = [permits.wait('llm', rows, 1) for _ in range(3)]
     assert waits == pytest.approx([0.25, 0.5, 0.75])
     most = max(permits.wait('llm', rows, 1) for _ in range(100))
-    assert most == LONGEST_WAIT
+    assert most == MAX_WAIT_SECONDS
     assert permits.wait('other', [], 1) == 0
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -22,7 +22,7 @@
     unheard_after,
 )
 from spanfall_core.gateway.known.unit_reports import EntrySpending
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 from spanfall_core.gateway.routing.grants import EntryLoad, GrantBook
 from spanfall_node.gateway.store.sync import old_proof
 
@@ -45,7 +45,7 @@
             expected=self.known_before,
             expected_until=MEETING_SECONDS,
         )
-        self.levels = SharedLevels(Tolerance(0.1, 140_000))
+        self.levels = QuotaAllocator(Tolerance(0.1, 140_000))
         self.book = GrantBook()
         self.due = [
             (self.draw.uniform(0, 1), number) for number in range(self.size)
@@ -65,7 +65,7 @@
         self.reports.append(now)
         self.fleet.learn(report, now)
         period = self.fleet.period(now)
-        self.levels.learn(
+        self.levels.apply_report(
             report.key,
             EntrySpending({'w': 0.0}),
             LIMITS,
@@ -76,7 +76,7 @@
         self.book.learn(report.key, load, now)
         self.book.expect(report.key, unheard_after(period))
         self.book.forget_silent(now)
-        self.levels.give(report.key, LIMITS, now)
+        self.levels.allocate(report.key, LIMITS, now)
         return period
 
 
@@ -89,8 +89,8 @@
         assert home.fleet.size(second) == size
         assert home.fleet.running(second) == {'u-1': 2 * size}
         assert home.book.running['u-1'] == 2 * size
-        use = home.levels.use('w', LIMITS['w'], second)
-        assert not use.hidden
+        use = home.levels.usage('w', LIMITS['w'], second)
+        assert not use.silent_units
 
 
 @pytest.mark.parametrize('size', SIZES)
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -29,8 +29,8 @@
 #: Seconds in which the limit of the gateways here holds.
 WINDOW = 1.5
 #: Requests that the limit of the gateways here allows in a window.
-MOST = 5
-TRIES = 15
+MAX_REQUESTS = 5
+ATTEMPTS = 15
 RATE = 0.01
 KEY = {'authorization': 'Key k'}
 
@@ -39,7 +39,7 @@
     """Return the state of an entry to which a home gave so many units."""
     quotas = Quotas()
     given = GivenUnits({'w': units}, {}, {'w': 100})
-    quotas.learn_given(given, EntrySpending(), LIMITS, 0)
+    quotas.apply_given(given, EntrySpending(), LIMITS, 0)
     return SimpleNamespace(
         quotas=quotas,
         tenure=None,
@@ -68,7 +68,7 @@
 
     outcome = []
     run_async(main)
-    return outcome[0], asked, state.quotas.left('w', LIMITS['w'], 0)
+    return outcome[0], asked, state.quotas.available('w', LIMITS['w'], 0)
 
 
 @pytest.mark.parametrize(
@@ -79,17 +79,17 @@
         ([], (False, [40], 10)),
     ],
 )
-def test_what_a_request_lacks_is_asked_for(answers, expected):
+def test_missing_units_are_requested_from_the_home(answers, expected):
     assert obtain(answers) == expected
 
 
-def test_an_entry_alone_asks_nobody():
+def test_an_entry_without_a_home_requests_no_units():
     state = entry_that_holds(10)
-    state.quotas.go_alone(LIMITS, 0)
+    state.quotas.enter_standalone(LIMITS, 0)
     assert obtain([40], state=state) == (False, [], 10)
 
 
-def test_an_answer_that_comes_late_counts():
+def test_a_late_answer_counts():
     """The home counts it as held here, so it must not be lost."""
     state = entry_that_holds(10)
     requests = UnitRequests(state)
@@ -108,14 +108,14 @@
             assert not await requests.obtain('w', 50)
 
     run_async(main)
-    assert state.quotas.left('w', LIMITS['w'], 0) == 50
+    assert state.quotas.available('w', LIMITS['w'], 0) == 50
 
 
 async def two_entries(world, behaviour):
     """Start two gateways before one limit; return the home and the other."""
-    world.configure(workspaces=[PlainWorkspace('w', ['k'], RATE, MOST)])
+    world.configure(workspaces=[PlainWorkspace('w', ['k'], RATE, MAX_REQUESTS)])
     await world.add_upstream(behaviour)
-    bounds = {'quota_window_seconds': WINDOW, 'quota_allowance': MOST}
+    bounds = {'quota_window_seconds': WINDOW, 'quota_allowance': MAX_REQUESTS}
     states = [await world.add_gateway(**bounds) for _ in range(2)]
     await wait_until(lambda: all(row.quotas.entries == 2 for row in states))
     # Until then a new home takes a part of the limit as spent.
@@ -139,12 +139,12 @@
     """
     _, other = await two_entries(world, whole())
     answers = []
-    for _ in range(TRIES):
+    for _ in range(ATTEMPTS):
         answers += await statuses(other, 1)
-        await anyio.sleep(WINDOW / 2 / TRIES)
+        await anyio.sleep(WINDOW / 2 / ATTEMPTS)
     served = answers.count(HTTPStatus.OK)
-    assert MOST <= served <= MOST + 1
-    assert answers.count(HTTPStatus.TOO_MANY_REQUESTS) == TRIES - served
+    assert MAX_REQUESTS <= served <= MAX_REQUESTS + 1
+    assert answers.count(HTTPStatus.TOO_MANY_REQUESTS) == ATTEMPTS - served
     counters = other.counters
     counts = (counters.units_admitted, counters.units_run)
     shown = [row.labels('w')._value.get() for row in counts]
@@ -152,20 +152,22 @@
 
 
 @in_world
-async def test_what_did_not_run_comes_back(world):
+async def test_units_of_requests_that_did_not_run_are_returned(world):
     _, other = await two_entries(world, refused())
-    assert set(await statuses(other, 2 * MOST)) == {503}
+    assert set(await statuses(other, 2 * MAX_REQUESTS)) == {503}
     returned = other.counters.units_returned.labels('w')
-    assert returned._value.get() == 2 * MOST
+    assert returned._value.get() == 2 * MAX_REQUESTS
 
 
 @in_world
-async def test_the_record_ends_with_the_pressure(world):
+async def test_the_record_is_removed_when_demand_falls(world):
     """A record that stayed would hold for a home much later."""
     _, other = await two_entries(world, whole())
     assert SPENDING_KEY not in world.store.items
-    await statuses(other, MOST)
-    await wait_until(lambda: sum(recorded(world).get('w', ())) > MOST / 2)
+    await statuses(other, MAX_REQUESTS)
+    await wait_until(
+        lambda: sum(recorded(world).get('w', ())) > MAX_REQUESTS / 2
+    )
     await wait_until(lambda: not recorded(world))
 
 
--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -15,7 +15,7 @@
 import pytest
 from arrivals import arrived_after, note_arrivals
 from gateway_world import ask, in_world
-from named_limit_checker import SPAN, TOLD_AFTER, allowed
+from named_limit_checker import LIMIT_KNOWN_AFTER, WINDOW_SECONDS, allowed
 from spanfall_standins.gateway.upstream import whole
 from support import wait_until
 from test_gateway_succession import is_home
@@ -57,7 +57,7 @@
 
     def passes_limit(self, end):
         """Tell whether the span that ends at a time holds too much."""
-        begin = end - SPAN - TOLD_AFTER
+        begin = end - WINDOW_SECONDS - LIMIT_KNOWN_AFTER
         later = [*(at for at, _ in self.named[1:]), float('inf')]
         in_force = [
             rate
@@ -70,8 +70,10 @@
         )
         if None in in_force or end < since + CONTACT:
             return False
-        told = arrived_after(self.arrivals, self.limits_passed_on, TOLD_AFTER)
-        count = sum(end - SPAN < one.at <= end for one in told)
+        told = arrived_after(
+            self.arrivals, self.limits_passed_on, LIMIT_KNOWN_AFTER
+        )
+        count = sum(end - WINDOW_SECONDS < one.at <= end for one in told)
         return count > allowed(max(in_force))
 
     def late(self):
