--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Decide who may spend which units of a limit."""
+"""Allocate the units of workspace limits and the permits of upstreams."""
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
@@ -1,4 +1,4 @@
-"""Hold at the home what one entry spent and may hold of the limits."""
+"""Track at the home what one entry has spent and may hold of the limits."""
 
 from dataclasses import dataclass, field
 
@@ -11,39 +11,40 @@
 )
 from spanfall_core.gateway.known.unit_reports import EntrySpending
 
-#: Seconds by which units that came back may be younger than their age says:
-#: ages are whole seconds of slots. Taken as older, they never cancel more
-#: than their spending, which the home heard of later.
+#: Seconds by which returned units may be younger than their reported age,
+#: which is a whole number of seconds computed from time buckets. Dating them
+#: back by this much keeps them from cancelling more than their spending, which
+#: was reported to the home later.
 AGE_ERROR_SECONDS = 1 + 2 * SLOT_SECONDS
 
 
 @dataclass(slots=True)
 class EntryAccount:
-    """Hold what one incarnation of an entry spent and may hold."""
+    """Track what one incarnation of an entry has spent and may hold."""
 
     node: str
     last_report_at: float
-    #: When it is silent unless it reports before.
+    #: Time from which the entry counts as silent unless it reports before.
     report_deadline: float
-    #: What it told last.
     last_report: EntrySpending = field(default_factory=EntrySpending)
-    #: The most that it may hold, and spend besides without a home: until its
-    #: next report nobody knows whether what it was given last has arrived.
+    #: Upper bounds of the units that the entry holds, and of those it may spend
+    #: in addition without a home. Whether the last allocation has arrived is
+    #: unknown until the next report.
     held: Units = field(default_factory=dict)
     beyond: Units = field(default_factory=dict)
-    #: What it was given last, which its next report shows to have arrived.
+    #: The last allocation, which the next report confirms.
     given: Units = field(default_factory=dict)
     given_beyond: Units = field(default_factory=dict)
     own_spending: dict[str, Spending] = field(default_factory=dict)
-    #: What came back to it, as told last: time of the spending and units.
+    #: Units returned to the entry, as last reported, by time of spending.
     returned: dict[str, Pieces] = field(default_factory=dict)
-    #: Its spending in the window when it fell silent; None: it is heard.
+    #: Spending in the window when the entry became silent; None: not silent.
     recent_at_silence: Units | None = None
 
     def record_allocation(
         self, workspace: str, units: float, beyond: float
     ) -> None:
-        """Note what it is given with a table that may not arrive."""
+        """Record an allocation sent with a table that may not arrive."""
         self.given[workspace] = units
         self.given_beyond[workspace] = beyond
         self.held[workspace] = max(self.held.get(workspace, 0), units)
@@ -51,17 +52,17 @@
         self.beyond[workspace] = max(known, beyond)
 
     def add_lent(self, workspace: str, units: float) -> None:
-        """Note units that it is given besides."""
+        """Record units granted on request, in addition to the allocation."""
         self.held[workspace] = self.held.get(workspace, 0) + units
         given = self.given.get(workspace)
         if given is not None:
             self.given[workspace] = given + units
 
     def apply_report(self, report: EntrySpending) -> Units:
-        """Take its next report; return what it spent since the last.
+        """Apply the next report; return the units spent since the last one.
 
-        The report tells that the last table has arrived, but for that of an
-        entry that lost the home in between, which says what it holds.
+        The report confirms that the last table has arrived, unless the entry
+        lost the home in between: then the report states what it holds.
         """
         if report.entries:
             self.held = dict(report.held)
@@ -81,7 +82,7 @@
         }
 
     def apply_returned(self, report: EntrySpending, now: float) -> None:
-        """Take over what it says came back in the last window."""
+        """Replace the units that were returned in the last window."""
         self.returned = {
             workspace: [
                 (now - seconds - AGE_ERROR_SECONDS, units)
@@ -93,7 +94,7 @@
     def silent_units(self, workspace: str, limit: Limit, now: float) -> float:
         """Return the units that a silent entry may still spend.
 
-        It also gets back what it spent, as that leaves the window.
+        They include its earlier spending that has left the window since.
         """
         held = self.held.get(workspace, 0) + self.beyond.get(workspace, 0)
         own_spending = self.own_spending.get(workspace)
@@ -103,7 +104,7 @@
         return held + before - own_spending.recent(limit.window, now)
 
     def mark_silent(self, limits: Limits, now: float) -> None:
-        """Note that it is not heard any more."""
+        """Mark the entry as silent and save its spending in the window."""
         self.recent_at_silence = {
             workspace: own_spending.recent(limits[workspace].window, now)
             for workspace, own_spending in self.own_spending.items()
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
@@ -1,4 +1,4 @@
-"""Sum up at the home what all entries spent of the limits."""
+"""Sum up at the home what all entries have spent of the limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,38 +11,40 @@
     sum_ages,
 )
 
-#: Part of a limit of which a workspace's spending is recorded in the store:
-#: less than the usual load, so that this is known after a restart of all.
+#: Part of a limit above which the spending of a workspace is recorded in the
+#: store. It is below the usual load, so that the usual spending is known after
+#: a restart of all nodes.
 RECORDED_PART = 0.25
-#: Part of a limit that a new home takes as spent at least, for a whole window,
-#: where no entry tells: the record may be old, as the store may have been away.
-#: In the model of 8 nodes 0.5 refuses 0.037 of the usual requests after a
-#: restart of all, this 0.012; 0.35 passes a limit in 1 of 60 courses.
+#: Minimum part of a limit that a new home counts as spent for a whole window
+#: if no entry reports the time before it: the record may be outdated because
+#: the store was unavailable. In the simulation of 8 nodes, 0.5 refuses 0.037
+#: of the usual requests after a restart of all nodes and this value 0.012;
+#: 0.35 exceeds a limit in 1 of 60 event sequences.
 ASSUMED_PART = 0.42
-#: Seconds for which the record takes spending to go on at the rate that was
-#: seen last: what was heard is a report old, the record itself a look and a
-#: write, and both are later on busy hosts.
+#: Seconds for which the record extrapolates spending at the latest rate. The
+#: reported spending is late by one report, the record by one check and one
+#: write, and both take longer on busy hosts.
 UNREPORTED_SECONDS = 0.6
-#: Seconds over which that rate is measured, the fastest of them counts: a short
-#: time sees pressure begin, a long one holds while reports are late.
+#: Seconds over which that rate is measured; the highest rate counts. The short
+#: window detects a rise in demand, the long one bridges late reports.
 RATE_WINDOW_SECONDS = (0.3, 1.0)
 
 
 @dataclass(slots=True)
 class PredecessorSpending:
-    """Hold what may have been spent before a home whom no entry tells.
+    """Estimate the spending before a home to which no entry reports it.
 
-    What the record does not know of may all have been in the last moment, so
-    it leaves the window as if it had been spent as this home began.
+    Spending that the record lacks may have occurred at the last moment, so it
+    leaves the window as if it had been spent when this home started.
     """
 
-    #: What the record says, by its ages.
+    #: Spending in the stored record, by its ages.
     recorded: Spending = field(default_factory=Spending)
-    #: What is taken as spent whatever the record says.
+    #: Spending assumed regardless of the record.
     minimum: Spending = field(default_factory=Spending)
 
     def larger(self, limit: Limit, now: float) -> Spending:
-        """Return which of both is more in the window that ends now."""
+        """Return the estimate that is larger in the window that ends now."""
         recorded = self.recorded.recent(limit.window, now)
         minimum = self.minimum.recent(limit.window, now)
         return self.recorded if recorded > minimum else self.minimum
@@ -50,38 +52,38 @@
 
 @dataclass(slots=True)
 class FleetSpending:
-    """Hold what was spent in the last window, by workspace."""
+    """Track the spending of the last window, by workspace."""
 
-    #: What the home before recorded, by workspace and age in seconds.
+    #: Record of the previous home, by workspace and age in seconds.
     recorded: Mapping[str, ByAge] = field(default_factory=dict)
-    #: Whether no entry could tell of the time before this home.
+    #: Whether no entry has reported the time before this home.
     is_history_assumed: bool = True
     _spent: dict[str, Spending] = field(default_factory=dict)
     _returned: dict[str, Spending] = field(default_factory=dict)
     _predecessors: dict[str, PredecessorSpending] = field(default_factory=dict)
 
     def assume_history(self, limits: Limits, now: float) -> None:
-        """Take the time before this home as it may have been."""
+        """Assume the spending before this home for each limit."""
         for workspace, limit in limits.items():
             self._predecessor_of(workspace, limit, now)
 
     def add(self, workspace: str, units: float, now: float) -> None:
-        """Add units that an entry spent."""
+        """Add units that an entry reports as spent."""
         self._spending_of(workspace).add(units, now)
 
     def recall(self, workspace: str, by_age: ByAge, now: float) -> None:
-        """Add what an entry spent before it was heard."""
+        """Add what an entry spent before its first report."""
         self._spending_of(workspace).recall(by_age, now)
 
     def count_returned(self, rows: Mapping[str, Pieces], sign: int) -> None:
-        """Count units that came back, or with a sign of -1 no longer."""
+        """Add returned units, or subtract them if the sign is -1."""
         for workspace, pieces in rows.items():
             total = self._returned.setdefault(workspace, Spending())
             for at, units in pieces:
                 total.add(sign * units, at)
 
     def recent(self, workspace: str, limit: Limit, now: float) -> float:
-        """Return what was spent in the window that ends now."""
+        """Return the units spent in the window that ends now."""
         spent = self._known_spending(workspace, limit, now)
         if not self.is_history_assumed:
             return spent
@@ -91,7 +93,7 @@
     def spending_to_record(
         self, limits: Limits, now: float
     ) -> dict[str, ByAge]:
-        """Return the spending, by age, of workspaces that use much."""
+        """Return the spending, by age, of workspaces that need a record."""
         return {
             workspace: self._by_age(workspace, limit, now)
             for workspace, limit in limits.items()
@@ -99,7 +101,7 @@
         }
 
     def _needs_record(self, workspace: str, limit: Limit, now: float) -> bool:
-        """Tell whether what is known to be spent is worth a record."""
+        """Tell whether the known spending is large enough to be recorded."""
         spent = self._known_spending(workspace, limit, now)
         if self.is_history_assumed:
             predecessor = self._predecessor_of(workspace, limit, now)
@@ -126,7 +128,7 @@
     def _unreported_spending(
         self, workspace: str, limit: Limit, now: float
     ) -> float:
-        """Return what is spent until a home without this record follows."""
+        """Estimate the spending that reports and records do not cover yet."""
         spent = self._spending_of(workspace)
         rate = max(spent.rate(seconds, now) for seconds in RATE_WINDOW_SECONDS)
         left = limit.total - self.recent(workspace, limit, now)
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
@@ -1,9 +1,9 @@
-"""Let upstreams that name a limit get what they take, by permits.
+"""Enforce the rate limits that upstreams name, by permits.
 
-Each request to such an upstream needs a permit, first sends and repeated ones
-alike, and only the holder of the home's lease gives any, one with a grant. So
-what all entries send is what one node gave: nothing is held in advance, and
-an entry that hears no home sends nothing there.
+Each request to such an upstream needs a permit, retries included. Only the
+holder of the home's lease issues permits, one with each grant. So one node
+bounds what all entries send: no permits are held in advance, and an entry
+that reaches no home sends nothing to these upstreams.
 """
 
 from collections.abc import Sequence
@@ -14,37 +14,37 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 
-#: Permits that may be given at once after a pause, and the seconds of its rate
-#: that an upstream may get at once besides.
+#: Burst after an idle period: this many permits, and in addition the permits
+#: of this many seconds at the rate of the upstream.
 BURST = 2.0
 BURST_SECONDS = 0.5
-#: Permits a second for an upstream that takes fewer, or none: its next answer
-#: tells whether that still holds.
+#: Minimum permits a second, also for an upstream that names a lower rate or
+#: zero: only its next answer shows whether that rate still applies.
 MIN_RATE = 0.1
-#: Longest time after which a caller that finds no room is to come back.
+#: Maximum seconds after which a refused caller is asked to retry.
 MAX_WAIT_SECONDS = 5.0
-#: Part of a permit that rounding may lack.
+#: Part of a permit that may be missing because of rounding errors.
 ROUNDING_TOLERANCE = 1e-6
-#: Seconds until the next look for room at the least: the steady clock of a host
-#: that runs for long has no digits for less.
+#: Minimum seconds until the next check for permits: the monotonic clock of a
+#: host with a long uptime cannot represent shorter steps.
 MIN_RECHECK_SECONDS = 0.001
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Hold the permits that one upstream leaves, growing with time.
+    """Hold the permits of one upstream, refilled at its rate.
 
-    It begins with none: a home that begins, and an upstream that has just
-    named its limit, have what was sent before behind them, and nobody has to
-    know how much that was.
+    It starts empty. So a new home, and an upstream that has just named its
+    limit, need no count of the requests that were sent before.
     """
 
     rate: float
+    #: Time of the last refill.
     at: float
     level: float = 0
 
     def refill(self, now: float) -> None:
-        """Add what has grown until now."""
+        """Add the permits accrued until now."""
         capacity = BURST + self.rate * BURST_SECONDS
         grown = self.level + self.rate * max(0, now - self.at)
         self.level = min(capacity, grown)
@@ -52,38 +52,38 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is no permit to give."""
+        """Tell whether no permit is available."""
         return self.level < 1 - ROUNDING_TOLERANCE
 
     @property
     def next_permit_at(self) -> float:
-        """Return when there is one."""
+        """Return the time at which a permit is available."""
         return self.at + max(MIN_RECHECK_SECONDS, (1 - self.level) / self.rate)
 
 
 @dataclass(slots=True)
 class RetrySchedule:
-    """Hold who of a service's callers may come back when."""
+    """Schedule the retries of a service's refused callers."""
 
     rows: Sequence[ListedUpstream] = ()
-    #: Version of the rates that it rests on.
+    #: Version of the rates that this schedule uses.
     version: int = 0
-    #: Permits a second of all its upstreams.
+    #: Permits a second of all upstreams of the service.
     rate: float = 0
-    #: Turn of the caller that was told last.
+    #: Retry time of the caller that was refused last.
     last_retry_at: float = float('-inf')
 
 
 @dataclass(slots=True)
 class Permits:
-    """Hold the room at each upstream that names a limit."""
+    """Hold the token bucket of each upstream that names a limit."""
 
     _buckets: dict[Lifetime, TokenBucket] = field(default_factory=dict)
     _exhausted: set[Lifetime] = field(default_factory=set)
-    #: When room is to be looked for again at one that was full.
+    #: Times at which exhausted upstreams are checked again.
     _recheck_queue: list[tuple[float, Lifetime]] = field(default_factory=list)
     _schedules: dict[str, RetrySchedule] = field(default_factory=dict)
-    #: Grows with each change of a rate.
+    #: Incremented with each change of a rate.
     _version: int = 0
 
     def set_rate(
@@ -92,7 +92,7 @@
         rate: float | None,
         now: float,
     ) -> None:
-        """Take another rate of an upstream; None: it names no limit."""
+        """Set the rate of an upstream; None: it names no limit."""
         self._version += 1
         if rate is None:
             self._buckets.pop(lifetime, None)
@@ -105,7 +105,7 @@
         self._update_availability(lifetime, bucket)
 
     def withheld(self, now: float) -> AbstractSet[Lifetime]:
-        """Return the upstreams that may get nothing now."""
+        """Return the upstreams that may receive no request now."""
         while self._recheck_queue and self._recheck_queue[0][0] <= now:
             _, lifetime = heappop(self._recheck_queue)
             bucket = self._buckets.get(lifetime)
@@ -115,7 +115,7 @@
         return self._exhausted
 
     def acquire(self, lifetime: Lifetime, now: float) -> bool:
-        """Give a permit; False: the upstream needs none."""
+        """Issue a permit; return False if the upstream needs none."""
         bucket = self._buckets.get(lifetime)
         if bucket is None:
             return False
@@ -130,10 +130,10 @@
         rows: Sequence[ListedUpstream],
         now: float,
     ) -> float:
-        """Return the seconds after which a caller's turn comes.
+        """Return the seconds after which a refused caller is to retry.
 
-        Callers that find no room come back one after the other, as room comes
-        free. 0: no upstream of the service names a limit.
+        Retries are spread out at the rate at which permits become available.
+        0: no upstream of the service names a limit.
         """
         schedule = self._schedules.setdefault(service, RetrySchedule())
         if schedule.rows is not rows or schedule.version != self._version:
@@ -153,7 +153,7 @@
     def _update_availability(
         self, lifetime: Lifetime, bucket: TokenBucket
     ) -> None:
-        """Note whether there is room; look again when some comes free."""
+        """Update whether the upstream has permits; schedule the next check."""
         if bucket.is_empty:
             self._exhausted.add(lifetime)
             heappush(self._recheck_queue, (bucket.next_permit_at, lifetime))
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
@@ -1,14 +1,15 @@
-"""Keep an entry inside its part of the limits of workspaces.
-
-A limit holds for every span of the quota window. Each unit of it belongs to
-one holder at a time: to the pool of the home, or to one entry. The home gives
-an entry some units with each table, and more where a request needs them; an
-entry that hears no home goes on with what it holds, and with what it spent
-itself as that leaves the window. No entry spends what it does not hold. So
-the sum over all holders is the limit, in touch or not, by construction.
-
-A request counts from its admission, which lies between its caller's sending
-it and the upstream's running it, however long it waits in between.
+"""Keep an entry within its part of the workspace limits.
+
+A limit applies to every interval of one quota window. Each unit of it has one
+holder at a time: the pool at the home, or one entry. The home allocates units
+to an entry with each table, and grants more when a request needs them. An
+entry that reaches no home continues with the units that it holds, and with
+its own spending as that leaves the window. No entry spends units that it does
+not hold. So the sum over all holders equals the limit, connected or not, by
+construction.
+
+A request counts from its admission, which lies between the time the caller
+sends it and the time the upstream runs it, however long it is queued.
 """
 
 from collections.abc import Mapping
@@ -18,44 +19,45 @@
 from spanfall_core.gateway.known.spending import ByAge, Spending, Units
 from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
 
-#: Part of its share of a limit that an entry may spend at its start, before
-#: it finds the home: enough for the first requests of each workspace.
+#: Part of its share of a limit that an entry may spend after its start before
+#: it reaches the home: enough for the first requests of each workspace.
 STARTUP_PART = 0.06
-#: Part of the units given last below which an entry asks for more at once,
-#: and units below which it does so whatever it was given.
+#: An entry requests more units at once if it holds less than this part of its
+#: last allocation, or fewer than this number of units.
 LOW_WATERMARK_PART = 0.3
 LOW_WATERMARK_MIN_UNITS = 1.0
-#: Seconds for which an entry asks for no more units of a workspace after the
-#: home had none: a pressing workspace costs it twenty questions a second.
+#: Seconds for which an entry requests no units of a workspace after the home
+#: had none. It bounds the requests for a workspace in high demand to twenty a
+#: second.
 DENIAL_BACKOFF_SECONDS = 0.05
 
 
 @dataclass(slots=True)
 class Allocation:
-    """Hold the units of a workspace that belong to this entry."""
+    """Hold the units of a workspace that this entry may spend."""
 
-    #: Units given by the home, less what was spent since; None: it is alone.
+    #: Units given by the home, less spending since; None: standalone.
     given: float | None = None
-    #: Units given last, to see how fast they go.
+    #: Units of the last allocation, to detect that they are running out.
     last_given: float = 0
     beyond: float = 0
-    #: Alone: what it held and had spent when it lost the home.
+    #: Standalone: units held and spent when the home was lost.
     owned: float = 0
-    #: The limit of that moment; what it owns falls with the limit.
+    #: Total of the limit at that time; ``owned`` shrinks with the limit.
     owned_limit_total: float = 0
-    #: Spending of before this process, as it is assumed at its start.
+    #: Assumed spending of an earlier process on this node.
     assumed: Spending = field(default_factory=Spending)
-    #: Whether a home ever gave anything.
+    #: Whether any home has allocated units.
     has_been_allocated: bool = False
-    #: Until when no more is asked for, as the home had none.
+    #: Time until which no units are requested, as the home had none.
     denied_until: float = 0
 
 
 @dataclass(slots=True)
 class Quotas:
-    """Hold what one entry may spend of the limits."""
+    """Track what one entry may spend of the limits."""
 
-    #: Entries that share each limit, as far as known.
+    #: Number of entries that share each limit, as far as known.
     entries: int = 1
     #: Units since the process started, by workspace.
     spent: Units = field(default_factory=dict)
@@ -63,7 +65,8 @@
     _allocations: dict[str, Allocation] = field(default_factory=dict)
     _own: dict[str, Spending] = field(default_factory=dict)
     _returned: dict[str, Spending] = field(default_factory=dict)
-    #: What the last home said is left of each limit, and what it knew of.
+    #: Units left of each limit as last reported by a home, and this entry's net
+    #: spending that the report included.
     _levels: Units = field(default_factory=dict)
     _counted: Units = field(default_factory=dict)
 
@@ -74,7 +77,7 @@
         units: float,
         now: float,
     ) -> bool:
-        """Spend units of a workspace if so many are held here."""
+        """Spend units of a workspace if this entry holds enough."""
         if self.available(workspace, limit, now) < units:
             return False
         self._own[workspace].spend(units, limit.window, now)
@@ -85,12 +88,12 @@
         return True
 
     def available(self, workspace: str, limit: Limit, now: float) -> float:
-        """Return what may be spent here now."""
+        """Return the units that this entry may spend now."""
         allocation = self._allocation_of(workspace, limit, now)
         if allocation.given is not None:
             return allocation.given
-        # A limit that rises is not taken part of alone: the home does not
-        # know that this entry follows it.
+        # A standalone entry does not use a raised limit: the home cannot tell
+        # that this entry has applied it.
         part = (
             min(1, limit.total / allocation.owned_limit_total)
             if allocation.owned_limit_total
@@ -110,9 +113,9 @@
     ) -> None:
         """Return units of a request that no upstream ran.
 
-        They cancel their spending where it stands in the window. Cancelled
-        now instead, they would go on to count as unspent after the spending
-        has left, and let as much run twice.
+        They cancel their spending at the time when it was spent. Cancelling
+        at the current time would count them as unspent after the spending has
+        left the window, so that as many units could run twice.
         """
         own_spending = self._own.get(workspace)
         if own_spending is None or not own_spending.holds(
@@ -129,7 +132,7 @@
             allocation.given += units
 
     def is_low(self) -> bool:
-        """Tell whether the home should give more of some limit at once."""
+        """Tell whether to request more units of some limit at once."""
         return any(
             allocation.given is not None
             and allocation.given
@@ -142,10 +145,11 @@
         )
 
     def may_get_more(self, workspace: str, units: float, now: float) -> bool:
-        """Tell whether a home is likely to give units that are missing here.
+        """Tell whether a home is likely to grant the missing units.
 
-        This entry has not heard it yet, or not lately that it has none, or
-        others hold as many, who give them back with their next reports.
+        It is if no home has allocated units yet, if the home has not denied
+        units recently, or if other entries hold as many, which they give up
+        with their next reports.
         """
         allocation = self._allocations.get(workspace)
         if allocation is None or not allocation.has_been_allocated:
@@ -164,14 +168,14 @@
         units: float,
         now: float,
     ) -> float:
-        """Return the units to ask a home for, or 0 if it has none now."""
+        """Return the units to request from a home, or 0 if it has none now."""
         allocation = self._allocation_of(workspace, limit, now)
         if allocation.given is None or now < allocation.denied_until:
             return 0
         return max(0, units - allocation.given)
 
     def apply_lent(self, workspace: str, units: float, now: float) -> None:
-        """Take units that the home gave besides; none: it has none now."""
+        """Add units granted on request; 0: the home has none now."""
         allocation = self._allocations[workspace]
         if not units:
             allocation.denied_until = now + DENIAL_BACKOFF_SECONDS
@@ -185,9 +189,9 @@
         limits: Limits,
         now: float,
     ) -> None:
-        """Take over what the home gives after a report.
+        """Apply the allocation that the home sends after a report.
 
-        The home does not know yet what was spent, or came back, since then.
+        It does not include units spent or returned since that report.
         """
         before = reported.net
         for workspace, limit in limits.items():
@@ -204,7 +208,7 @@
         self._counted = before
 
     def report(self, limits: Limits, now: float) -> EntrySpending:
-        """Return what a home that is new to this entry is to know."""
+        """Return the full report for a home that is new to this entry."""
         known = {
             workspace: limits[workspace]
             for workspace, allocation in self._allocations.items()
@@ -225,7 +229,7 @@
         )
 
     def brief_report(self, limits: Limits, now: float) -> EntrySpending:
-        """Return what a home that knows this entry is to know."""
+        """Return the report for a home that already has a full one."""
         return EntrySpending(
             dict(self.spent),
             dict(self.given_back),
@@ -233,7 +237,7 @@
         )
 
     def enter_standalone(self, limits: Limits, now: float) -> None:
-        """Go on with what this entry holds, as no home is heard."""
+        """Continue with the units held, as no home is reachable."""
         for workspace, allocation in self._allocations.items():
             limit = limits.get(workspace)
             if allocation.given is None or limit is None:
@@ -247,7 +251,7 @@
     def _available_standalone(
         self, workspace: str, limit: Limit, now: float
     ) -> float:
-        """Return what may be spent here if no home is heard from now on."""
+        """Return what may be spent here if no home is reachable from now on."""
         left = self.available(workspace, limit, now)
         allocation = self._allocations[workspace]
         return left if allocation.given is None else left + allocation.beyond
@@ -266,10 +270,10 @@
     def _allocation_of(
         self, workspace: str, limit: Limit, now: float
     ) -> Allocation:
-        """Return what is held; at first it is an assumed part of the limit.
+        """Return the allocation, initially an assumed part of the limit.
 
-        What an earlier process here may have spent counts as spent now: it
-        may all have been in its last moment.
+        Units that an earlier process on this node may have spent count as
+        spent now, as it may have spent them at its last moment.
         """
         allocation = self._allocations.get(workspace)
         if allocation is None:
@@ -286,7 +290,7 @@
     limits: Limits,
     now: float,
 ) -> dict[str, ByAge]:
-    """Return the spending of the window that is not nothing, by age."""
+    """Return the nonzero spending of the window, by age."""
     return {
         workspace: own_spending.by_age(now)
         for workspace, own_spending in spending.items()
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
@@ -1,9 +1,9 @@
-"""Keep the pool of each limit at the home, and give parts of it out.
+"""Keep the pool of each limit at the home and allocate units from it.
 
-The pool is the limit, less what entries spent in the last window, less what
-they may hold. What entries hold that are silent stays with them: they may be
-cut off and serve callers. A part of that is covered by what the platform
-tolerates beyond a limit, so a lost entry costs the others nothing.
+The pool is the limit, less the units that entries spent in the last window,
+less those that they may hold. Silent entries keep their units, as they may be
+cut off and still serve callers. A part of these units is covered by the
+platform's tolerance beyond a limit, so a lost entry costs the others nothing.
 """
 
 from collections import defaultdict
@@ -18,47 +18,47 @@
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
 from spanfall_core.gateway.limits.taken_over import PredecessorEstimate
 
-#: Part of what the platform tolerates beyond a limit that covers what silent
-#: entries hold, and what any entry may spend beyond its units once it is alone.
+#: Part of the platform's tolerance that covers the units of silent entries, and
+#: those that entries may spend in addition without a home.
 COVERED_PART = 0.5
-#: Part of it by which the pool may fall below nothing for a request that is
-#: larger than what is left, so that large requests get their turn as small
-#: ones do. What remains is for the first units of restarted entries.
+#: Part of the tolerance by which a request may overdraw the pool if it is
+#: larger than what is left, so that small requests do not starve large ones.
+#: The rest of the tolerance is for the first units of restarted entries.
 OVERDRAFT_PART = 0.35
-#: Seconds between two looks for entries that fell silent.
+#: Seconds between two checks for silent entries.
 SILENCE_CHECK_SECONDS = 0.1
-#: Entries from which on a home that hears none of the others takes itself for
-#: cut off: it gives nothing more, not even to itself.
+#: Number of entries from which on a home that receives no reports from the
+#: others treats itself as cut off: it allocates nothing, not even to itself.
 ISOLATION_MIN_ENTRIES = 4
 
 
 @dataclass(slots=True)
 class LimitUsage:
-    """State where the units of one limit are."""
+    """Show how the units of one limit are distributed."""
 
     total: float
     spent: float
-    #: What entries that are heard may hold, and may spend beyond it alone.
+    #: Units that live entries may hold, and may spend in addition standalone.
     held: float
     beyond: float
-    #: What those may still spend that are not heard.
+    #: Units that silent and missing entries may still spend.
     silent_units: float
-    #: What the tolerance covers of the last two.
+    #: Units of ``beyond`` and ``silent_units`` that the tolerance covers.
     covered: float
 
     @property
     def pool(self) -> float:
-        """Return the units that nobody spent or may hold."""
+        """Return the units that no entry has spent or may hold."""
         uncovered = max(0, self.silent_units + self.beyond - self.covered)
         return self.total - self.spent - self.held - uncovered
 
     @property
     def level(self) -> float:
-        """Return what is left, in the pool or held by entries heard."""
+        """Return the units left, in the pool or held by live entries."""
         return self.total - self.spent - self.silent_units
 
     def free_beyond(self, live: int) -> float:
-        """Return what one more entry may spend beyond what it holds, alone."""
+        """Return what one entry may spend beyond its units without a home."""
         free = self.covered - self.silent_units
         return max(0, min(free / live, free - self.beyond))
 
@@ -69,12 +69,12 @@
 
 @dataclass(slots=True)
 class QuotaAllocator:
-    """Hold at the home what entries spent and hold."""
+    """Track at the home what entries spend and hold, and allocate units."""
 
     tolerance: Tolerance = field(default_factory=Tolerance)
     spending: FleetSpending = field(default_factory=FleetSpending)
     _entries: dict[str, EntryAccount] = field(default_factory=dict)
-    #: Sums over the entries that are heard, and the others.
+    #: Sums over live entries: units held, and allowed in addition standalone.
     _held: defaultdict[str, float] = field(default_factory=_sums)
     _beyond: defaultdict[str, float] = field(default_factory=_sums)
     _silent: dict[str, EntryAccount] = field(default_factory=dict)
@@ -89,10 +89,10 @@
         now: float,
         silent_after: float = SILENT_SECONDS,
     ) -> None:
-        """Add what an entry spent since its last report.
+        """Add what an entry has spent since its last report.
 
-        ``silent_after`` are the seconds after which it is silent unless it
-        reports again.
+        ``silent_after`` is the number of seconds after which the entry counts
+        as silent unless it reports again.
         """
         account = self._entries.get(entry)
         if account is None:
@@ -106,7 +106,7 @@
         self.spending.count_returned(account.returned, 1)
 
     def has_reported(self, entry: str) -> bool:
-        """Tell whether an entry was heard in this time as the home."""
+        """Tell whether an entry has reported in this term as the home."""
         return entry in self._entries
 
     def allocate(
@@ -115,11 +115,11 @@
         limits: Limits,
         now: float,
     ) -> GivenUnits | None:
-        """Return what an entry may spend until it is given more.
+        """Allocate what an entry may spend until its next allocation.
 
-        It is an equal part of what the pool and the entry hold: half of what
-        is left stays in the pool, for entries that ask for more. None: this
-        home may be cut off, so it gives nothing.
+        It is an equal share of the units that the pool and the entry hold,
+        sized so that half of what is left stays in the pool, for entries that
+        request more. None: this home may be cut off, so it allocates nothing.
         """
         live = self._live_entries(limits, now)
         if not live:
@@ -147,10 +147,10 @@
         limits: Limits,
         now: float,
     ) -> float:
-        """Give an entry the units that a request of its lacks, or none.
+        """Grant an entry the units that one of its requests lacks, or 0.
 
-        Where the pool has plenty, it gets its part of the rest besides, so
-        that small requests do not ask one by one.
+        If the pool holds more than that, the entry also gets its share of the
+        rest, so that small requests do not each need a message to the home.
         """
         limit = limits.get(workspace)
         account = self._entries.get(entry)
@@ -168,7 +168,7 @@
         return lent
 
     def usage(self, workspace: str, limit: Limit, now: float) -> LimitUsage:
-        """Return where the units of one limit are."""
+        """Return how the units of one limit are distributed."""
         return LimitUsage(
             limit.total,
             self.spending.recent(workspace, limit, now),
@@ -181,7 +181,7 @@
     def spending_to_record(
         self, limits: Limits, now: float
     ) -> dict[str, ByAge]:
-        """Return the spending, by age, of workspaces that use much."""
+        """Return the spending, by age, of workspaces that need a record."""
         return self.spending.spending_to_record(limits, now)
 
     def _add_entry(
@@ -191,7 +191,7 @@
         limits: Limits,
         now: float,
     ) -> EntryAccount:
-        """Hear an entry for the first time in this time as the home."""
+        """Add an entry at its first report in this term as the home."""
         node = entry.partition('/')[0]
         self._remove_dead(node, now)
         if self._predecessor is None:
@@ -214,7 +214,7 @@
         limits: Limits,
         now: float,
     ) -> None:
-        """Take the next report of an entry, whether it was silent or not."""
+        """Apply the next report of an entry, whether it was silent or not."""
         account = self._entries[entry]
         if self._silent.pop(entry, None) is None:
             self._count_held(account, -1)
@@ -230,7 +230,7 @@
                 own_spending.spend(units, limit.window, now)
 
     def _remove_dead(self, node: str, now: float) -> None:
-        """Take back what an earlier incarnation of a node holds."""
+        """Remove earlier incarnations of a node and entries long silent."""
         dead = [
             key
             for key, account in self._entries.items()
@@ -243,7 +243,7 @@
                 self._count_held(account, -1)
 
     def _live_entries(self, limits: Limits, now: float) -> int:
-        """Return the entries that are heard; 0: this home may be cut off."""
+        """Return the number of live entries; 0: this home may be cut off."""
         if now - self._checked_at >= SILENCE_CHECK_SECONDS:
             self._checked_at = now
             self._find_silent(limits, now)
@@ -267,7 +267,7 @@
             self._beyond[name] += sign * beyond
 
     def _silent_units(self, workspace: str, limit: Limit, now: float) -> float:
-        """Return what those may still spend that are not heard."""
+        """Return what silent and missing entries may still spend."""
         silent_units = sum(
             account.silent_units(workspace, limit, now)
             for account in self._silent.values()
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
@@ -1,8 +1,8 @@
-"""Estimate at a new home what happened under the home before.
+"""Estimate at a new home what was spent and held under the previous home.
 
-Entries that live tell what they spent and hold. What the dead spent is the
-difference to the last level that anybody heard; what silent ones hold is
-their part of it.
+Live entries report what they spent and hold. The spending of dead entries is
+estimated as the difference from the lowest level that any entry received;
+silent entries are assumed to hold their share of that level.
 """
 
 from dataclasses import dataclass, field
@@ -15,18 +15,18 @@
 
 @dataclass(slots=True)
 class PredecessorEstimate:
-    """Hold what a new home hears of the time of the home before."""
+    """Collect what entries report of the term of the previous home."""
 
     started_at: float
-    #: Entries that shared the limits under the home before; 0: nobody knows.
+    #: Entries that shared the limits under the previous home; 0: unknown.
     entries: int = 0
-    #: What was left of each limit, by the lowest level that an entry heard.
+    #: Units left of each limit: the lowest level that any entry received.
     levels: Units = field(default_factory=dict)
-    #: Spending of the entries heard that those levels know of.
+    #: Spending of the reporting entries that those levels include.
     counted: Units = field(default_factory=dict)
 
     def apply_report(self, report: EntrySpending) -> None:
-        """Take the first report of an entry."""
+        """Apply the first report of an entry."""
         self.entries = max(self.entries, report.entries)
         for workspace, level in report.levels.items():
             known = self.levels.get(workspace, level)
@@ -46,10 +46,10 @@
         reported: int,
         now: float,
     ) -> float:
-        """Return the units that entries not heard may have spent or hold.
+        """Return the units that missing entries may have spent or hold.
 
-        Until a window has passed, what the dead spent counts. Those that are
-        missing may be alive and hold their equal parts.
+        The spending of dead entries counts until one window has passed.
+        Missing entries may be alive, so each counts as holding an equal share.
         """
         elapsed = now - self.started_at
         if not self.entries or elapsed > FORGET_SECONDS:
--- a/tests/limit_checker.py
+++ b/tests/limit_checker.py
@@ -1,9 +1,9 @@
-"""Check the promise of a limit from outside, knowing nothing of the code.
+"""Check that a workspace limit holds, independently of the implementation.
 
-A span of one window may hold the limit and what the platform tolerates. A
-request counts in each span that holds both the moment at which its caller
-sent it and the moment at which it reached an upstream that ran it; whatever
-was sent before a span began counts in an earlier one.
+Any interval as long as the window may contain the limit and the platform's
+tolerance. A request counts in each interval that contains both the time at
+which its caller sent it and the time at which it reached an upstream that ran
+it. A request sent before an interval began counts in an earlier one.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Run:
-    """State when a request was sent and ran, in seconds, and its units."""
+    """Hold when a request was sent and ran, in seconds, and its units."""
 
     sent_at: float
     ran_at: float
@@ -24,7 +24,7 @@
     runs: Iterable[Run],
     window: float,
 ) -> Iterator[tuple[float, float]]:
-    """Yield the end of each span that ends at a run, and its units."""
+    """Yield the end and the units of each interval that ends at a run."""
     inside: list[Run] = []
     total = 0.0
     for run in sorted(runs, key=_ran_at):
@@ -36,7 +36,7 @@
 
 
 def max_in_window(runs: Iterable[Run], window: float) -> float:
-    """Return the most units that were both sent and run within a window."""
+    """Return the maximum units that were sent and run within one window."""
     return max((units for _, units in sums_by_window(runs, window)), default=0)
 
 
@@ -45,7 +45,7 @@
     window: float,
     allowed: Callable[[float], float],
 ) -> float:
-    """Return by how much a span passes what is allowed at its end."""
+    """Return the largest excess over what is allowed at an interval's end."""
     sums = sums_by_window(runs, window)
     return max((units - allowed(end) for end, units in sums), default=0)
 
--- a/tests/quota_events.py
+++ b/tests/quota_events.py
@@ -1,4 +1,4 @@
-"""Name what may happen to a fleet in the model of limits."""
+"""Define the events that the simulation of limits applies to a fleet."""
 
 from functools import partial
 
@@ -53,7 +53,7 @@
     simulation.sizes = mixed_sizes(len(node_numbers))
 
 
-#: Each takes the world and the numbers of the nodes that it may concern.
+#: Each takes the simulation and the numbers of the nodes that it may affect.
 EVENTS = {
     'press': partial(_demand, times=7.5),
     'calm': partial(_demand, times=1),
--- a/tests/quota_nodes.py
+++ b/tests/quota_nodes.py
@@ -1,4 +1,4 @@
-"""Hold the nodes of the model of limits and what is under way to them."""
+"""Model the nodes of the simulation of limits and what they await."""
 
 from dataclasses import dataclass, field
 
@@ -7,17 +7,17 @@
 from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
 from spanfall_core.gateway.limits.quotas import Quotas
 
-#: Units a second and at once, as of a large workspace of the deployments.
-#: The window is the one in which the platform counts.
+#: Seconds of the window in which the platform counts, and the limit of a large
+#: workspace of the deployments, in units a second and units at once.
 WINDOW = 8
 LIMIT = Limit(rate=200_000, burst=450_000, window=WINDOW)
-#: Steps until a killed process runs again.
+#: Steps until a killed process has restarted.
 RESTART_STEPS = 34
 
 
 @dataclass(slots=True)
 class Table:
-    """Hold what the home answered to a report, until it arrives."""
+    """Hold the home's answer to a report until it arrives."""
 
     due: int
     given: GivenUnits | None
@@ -26,46 +26,46 @@
 
 @dataclass(slots=True)
 class Node:
-    """Hold one node of the world."""
+    """Model one node."""
 
     name: str
     quotas: Quotas
     limits: LimitsInForce = field(default_factory=LimitsInForce)
     configured: Limit = LIMIT
-    #: Step at which it learns the newest limit.
+    #: Step at which the node applies the newest limit.
     config_applied_at: int = 0
     incarnation: int = 0
-    #: Steps since it was cut off, frozen or killed; None: it is not.
+    #: Steps since the node was cut off, frozen or killed; None: it is not.
     cut: int | None = None
     frozen: int | None = None
     dead: int | None = None
-    #: Step until which it takes a home that handed over for the home.
+    #: Step at which the node receives that the home has handed over.
     handover_seen_at: int = 0
-    #: Epoch of the home that knows it.
+    #: Epoch of the home that last received a report of this node.
     known_epoch: int = 0
     table: Table | None = None
 
     @property
     def key(self):
-        """Name this life of the node."""
+        """Return the key of this incarnation of the node."""
         return f'{self.name}/{self.incarnation}'
 
     @property
     def is_running(self):
-        """Tell whether its process runs."""
+        """Tell whether the process is running."""
         return self.dead is None and self.frozen is None
 
     @property
     def is_reachable(self):
-        """Tell whether the others reach this node."""
+        """Tell whether other nodes can reach this node."""
         return self.cut is None and self.is_running
 
     def limits_at(self, now):
-        """Return the limits that bind here."""
+        """Return the limits in force on this node."""
         return self.limits.at({'large': self.configured}, now)
 
     def advance(self):
-        """Let a step pass."""
+        """Advance by one step."""
         if self.cut is not None:
             self.cut += 1
         if self.frozen is not None:
@@ -75,8 +75,8 @@
             if self.dead >= RESTART_STEPS:
                 self.dead = None
 
-    def kill(self, quotas):
-        """Begin another life, which knows nothing of this one."""
+    def restart(self, quotas):
+        """Start a new incarnation without the state of this one."""
         self.dead = 0
         self.frozen = None
         self.incarnation += 1
@@ -86,14 +86,14 @@
         self.limits = LimitsInForce()
 
     def heal(self, link_steps, now):
-        """Be reached again; a long freeze has cost it the link."""
+        """Reconnect the node; a long freeze has closed its link."""
         self.cut = None
         if self.frozen is not None and self.frozen >= link_steps:
             self.enter_standalone(now)
         self.frozen = None
 
     def apply_table(self, entries, now):
-        """Take over the table that has arrived."""
+        """Apply the table that has arrived."""
         table = self.table
         self.table = None
         limits = self.limits_at(now)
@@ -104,7 +104,7 @@
         self.quotas.apply_given(table.given, table.reported, limits, now)
 
     def enter_standalone(self, now):
-        """Find that no home is heard."""
+        """Continue without a home."""
         self.table = None
         self.known_epoch = 0
         self.quotas.enter_standalone(self.limits_at(now), now)
@@ -120,7 +120,7 @@
     outcome: Outcome = field(compare=False)
     sent_at: float = field(compare=False)
     units: float = field(compare=False)
-    #: Life of the node that admitted it.
+    #: Incarnation of the node that admitted the request.
     key: str = field(compare=False, default='')
 
     def __post_init__(self):
--- a/tests/quota_requests.py
+++ b/tests/quota_requests.py
@@ -1,4 +1,4 @@
-"""Play the requests that the nodes of the model of limits get."""
+"""Simulate the requests that the nodes of the simulation receive."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 from quota_traffic import Outcome, equal_sizes, run_immediately
 
 STEP = 0.05
-#: Seconds for which a request waits for units that it lacks, as
+#: Seconds for which a request waits for missing units, as
 #: callers.MOST_ADMIT_SECONDS.
 ADMIT_SECONDS = 0.12
 
 
 @dataclass(slots=True)
 class UnadmittedRequest:
-    """Hold a request that lacks units and asks again."""
+    """Hold a request that lacks units and is tried again."""
 
     node: Node
     key: str
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class RequestSimulation:
-    """Draw ``demand`` units a second in all; note what ran and when."""
+    """Generate ``demand`` units a second in all; record what ran and when."""
 
     entries: int
     demand: float
@@ -51,11 +51,11 @@
 
     @property
     def max_units_run(self):
-        """Return the most units that ran in a window."""
+        """Return the maximum units that ran in one window."""
         return max_in_window(self.runs, WINDOW)
 
     def serve(self, node: Node, try_spend):
-        """Admit the requests of one step, as far as units are to be had."""
+        """Admit the requests of one step as far as units are available."""
         name = node.name
         due = self._due.get(name, 0) + self.demand * STEP / self.entries
         while True:
@@ -70,7 +70,7 @@
         self._due[name] = due
 
     def retry_unadmitted(self, try_spend):
-        """Let those ask once more that lacked units a moment ago."""
+        """Try the requests again that lacked units in the last step."""
         unadmitted = self._unadmitted
         self._unadmitted = []
         for request in unadmitted:
@@ -96,7 +96,7 @@
         self.finish_due()
 
     def finish_due(self):
-        """Let those run, or be refused, that have waited long enough."""
+        """Run or refuse the admitted requests that are due."""
         while self._pending and self._pending[0].due <= self.step:
             pending = heappop(self._pending)
             if pending.node.key != pending.key:
@@ -111,7 +111,7 @@
             self.ran.popleft()
 
     def _refuse(self, pending):
-        """Refuse an admitted request that no upstream ran."""
+        """Refuse an admitted request that no upstream ran; return its units."""
         node = pending.node
         node.quotas.give_back(
             'large',
--- a/tests/quota_store.py
+++ b/tests/quota_store.py
@@ -1,11 +1,11 @@
-"""Hold the record of spending in the model of limits, and what is sent there."""
+"""Model the store that holds the spending record in the simulation."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """Hold a record that is under way to the store."""
+    """Hold a record that was sent but has not reached the store."""
 
     step: int
     epoch: int
@@ -14,17 +14,16 @@
 
 @dataclass(slots=True)
 class RecordStore:
-    """Hold what the store keeps; it takes one record at a time."""
+    """Model the store; it accepts one record at a time."""
 
-    #: Steps until the store holds a record: some when hosts and the store are
-    #: busy.
+    #: Steps until a record is stored; above 0 if hosts and the store are busy.
     steps: int = 0
     record: dict = field(default_factory=dict)
     _pending: PendingRecord | None = None
 
     @property
     def is_busy(self):
-        """Tell whether a record is under way."""
+        """Tell whether a record is in transit."""
         return self._pending is not None
 
     def send(self, sent):
@@ -32,7 +31,7 @@
         self._pending = sent
 
     def take_arrived(self, step):
-        """Return the record that arrives, if one does."""
+        """Return the record that arrives at this step, if any."""
         sent = self._pending
         if sent is None or step < sent.step + self.steps:
             return None
--- a/tests/quota_traffic.py
+++ b/tests/quota_traffic.py
@@ -1,22 +1,23 @@
-"""Draw the requests that a fleet gets in the model of limits."""
+"""Generate the requests of the simulation of limits."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
 
+#: Units of a request of fixed size.
 REQUEST_UNITS = 12_000
-#: The largest request that a small workspace of the deployments sends: six
-#: of them are its whole limit.
+#: Units of the largest request of a small workspace of the deployments: six
+#: of them use up its limit.
 LARGEST_REQUEST_UNITS = 70_000
 
 
 def equal_sizes() -> Callable[[], float]:
-    """Return a source of requests that are all of one size."""
+    """Return a source of requests of equal size."""
     return lambda: REQUEST_UNITS
 
 
 def mixed_sizes(seed: int) -> Callable[[], float]:
-    """Return a source of many small requests and a few up to the largest."""
+    """Return a source of many small requests and a few large ones."""
     draw = Random(seed)
 
     def size() -> float:
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """State how an admitted request goes on."""
+    """Describe how an admitted request ends."""
 
     #: Steps until it reaches an upstream or is refused.
     steps: int = 0
@@ -38,12 +39,12 @@
 
 
 def run_immediately() -> Callable[[], Outcome]:
-    """Return a source of requests that run as they are admitted."""
+    """Return a source of requests that run on admission."""
     return Outcome
 
 
 def run_after_queueing(seed: int, refused: float) -> Callable[[], Outcome]:
-    """Return a source of requests that wait; a part is refused at last."""
+    """Return a source of requests that queue; a part is then refused."""
     draw = Random(seed)
 
     def outcome() -> Outcome:
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -1,4 +1,4 @@
-"""Play entries, a home, cuts and kills against one limit, in virtual time."""
+"""Simulate entries and a home under one limit, with faults, in virtual time."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -25,33 +25,33 @@
 )
 
 LIMITS = {'large': LIMIT}
-#: A small workspace of the deployments.
+#: Limit of a small workspace of the deployments.
 SMALL_LIMIT = Limit(rate=36_000, burst=126_420, window=WINDOW)
-#: What the platform tolerates beyond a limit.
+#: Tolerance of the platform beyond a limit.
 TOLERANCE = Tolerance(part=0.1, units=140_000)
 MAX_UNITS = LIMIT.total * (1 + TOLERANCE.part) + TOLERANCE.units
 
 REPORT_STEPS = 5
-#: Steps until an entry finds that its link is dead, as ANSWER_SECONDS.
+#: Steps until an entry detects that its link is dead, as ANSWER_SECONDS.
 LINK_STEPS = 16
-#: Steps that a home acts after it was cut off, and until there is another.
+#: Steps for which a home acts after a cut, and until its successor acts.
 LEASE_STEPS = 40
 SUCCESSOR_STEPS = 50
-#: Steps between two looks at whether the record is due, of which a fleet under
-#: pressure uses each, as quota_record.LOOK_PERIOD.
+#: Steps between two checks whether the record is due, as
+#: quota_record.LOOK_PERIOD; it is due at each of them under high demand.
 RECORD_STEPS = 5
-#: Most steps until an entry hears that the home has handed over.
+#: Maximum steps until an entry receives that the home has handed over.
 HANDOVER_NOTICE_STEPS = 20
-#: Most steps until a node in touch has a new configuration in force.
+#: Maximum steps until a connected node has applied a new configuration.
 APPLY_STEPS = 40
 
 
 @dataclass(slots=True)
 class QuotaSimulation(RequestSimulation):
-    """Play a fleet; it gets ``demand`` units a second in all."""
+    """Simulate a fleet that receives ``demand`` units a second in all."""
 
     limit: Limit = LIMIT
-    #: Most steps that a table is under way.
+    #: Maximum steps for which a table is in transit.
     transit: int = 0
     seed: int = 0
     epoch: int = 0
@@ -62,7 +62,7 @@
     steps_without_home: int = 0
     steps_without_store: int = 0
     nodes: list[Node] = field(default_factory=list)
-    #: Limits of before, with the time until which a node still held to each.
+    #: Former limits, with the time until which a node still applied each.
     earlier_limits: list[list] = field(default_factory=list)
     _rolling_out: list[list] = field(default_factory=list)
     _draw: Random = field(default_factory=Random)
@@ -77,7 +77,7 @@
 
     @property
     def max_excess(self):
-        """Return by how much a span passes what is tolerated."""
+        """Return the largest excess over limit and tolerance."""
         return max_excess(self.runs, WINDOW, self._allowed)
 
     def cut(self, *node_numbers):
@@ -96,15 +96,15 @@
     def kill(self, *node_numbers):
         for number in node_numbers:
             node = self.nodes[number]
-            node.kill(Quotas(entries=self.entries))
+            node.restart(Quotas(entries=self.entries))
             if node is self.home:
                 self.home = None
 
     def hand_over(self, *node_numbers):
-        """Let the home act no more, and one of some nodes follow it at once.
+        """Hand the home over to one of some nodes at once.
 
-        The others hear of it over the next second, and get no units from the
-        home before meanwhile.
+        The other nodes are notified over the next second, and until then they
+        receive no units from the former home.
         """
         eligible = [
             self.nodes[number]
@@ -121,7 +121,7 @@
                 )
 
     def change_limit(self, part):
-        """Put another limit in force; nodes in touch learn it in time."""
+        """Change the limit; connected nodes apply it after some steps."""
         row = [self.now, self.limit]
         self.earlier_limits.append(row)
         self._rolling_out.append(row)
@@ -168,7 +168,7 @@
             self._record()
 
     def _step_down(self):
-        """Let a home that cannot renew its lease act no more."""
+        """End the term of a home that cannot renew its lease."""
         home = self.home
         if home is None:
             return
@@ -191,7 +191,7 @@
             self._store_records()
 
     def _store_records(self):
-        """Let the store take what was sent to it, also of a home that died."""
+        """Store the records that arrive, also those of a killed home."""
         sent = self.store.take_arrived(self.step)
         if sent and not self.store_is_away and sent.epoch == self.epoch:
             self.store.record = sent.spent
@@ -223,7 +223,7 @@
             if self.step % REPORT_STEPS == 0:
                 node.enter_standalone(self.now)
             return
-        # A cut home still hears itself; the others report to it no more.
+        # A home that is cut off still receives its own reports, no others.
         is_home = node is self.home
         if node.cut is not None and not is_home:
             return
@@ -257,7 +257,7 @@
             node.apply_table(self.entries, self.now)
 
     def _try_spend(self, node, size):
-        """Spend what is held; ask the home for what is missing."""
+        """Spend held units; request the missing ones from the home."""
         limit = node.limits_at(self.now)['large']
         quotas = node.quotas
         if quotas.try_spend('large', limit, size, self.now):
@@ -282,9 +282,9 @@
         return node is home or (node.cut is None and home.cut is None)
 
     def _allowed(self, end):
-        """Return what a span that ends at a time may hold.
+        """Return the units that an interval with this end may contain.
 
-        A lower limit binds one window after it is in force everywhere.
+        A lower limit is enforced one window after all nodes have applied it.
         """
         since = end - 2 * WINDOW - APPLY_STEPS * STEP
         limits = [row for until, row in self.earlier_limits if until >= since]
--- a/tests/test_gateway_limit_promise.py
+++ b/tests/test_gateway_limit_promise.py
@@ -1,12 +1,13 @@
-"""Hold what runs of a workspace to its limit, as seen from outside.
-
-Seen: a workspace got 1.46 times its limit in the first seconds of traffic,
-where 1.44 times is tolerated. Course: it sent several times its usual when
-three of eight nodes were cut off, the home among them; the next home acted
-two seconds later. Cause: units had two holders, and whoever held anything
-began a request of any size: what was counted was not what ran. Proof: the
-same course breaks the limit here, judged by sent and run alone; the home cut
-off is what it takes: cuts without it did not do the same to real processes.
+"""Check from outside that the requests of a workspace stay within its limit.
+
+Guards against a workspace that got 1.46 times its limit in the first seconds
+of traffic, where 1.44 times is tolerated. It sent several times its usual load
+while three of eight nodes were cut off, the home among them, and the next home
+acted two seconds later. Units had two holders, and an entry that held any
+units started a request of any size, so the counted units were not those that
+ran. Simulated, the same events exceeded the limit, by the times at which
+requests were sent and ran. The home has to be among the nodes cut off: other
+cuts did not reproduce it on real processes.
 """
 
 from itertools import repeat
@@ -32,7 +33,7 @@
 
 
 def small_simulation(seed=0, **fields):
-    """Return a fleet before a workspace whose limit is few requests."""
+    """Return a fleet with a workspace whose limit is a few requests."""
     fields.setdefault('sizes', mixed_sizes(seed))
     return QuotaSimulation(
         entries=ENTRIES,
@@ -45,9 +46,9 @@
 
 
 def excess_by_seed(normal_seconds, earliest, latest, inject_fault):
-    """Let pressure begin after a calm time, then something befall the fleet.
+    """Run normal demand, then high demand, then a fault, for each seed.
 
-    Return by how much what is tolerated was passed, for each seed.
+    Return the largest excess over limit and tolerance for each seed.
     """
     excess = []
     for seed in range(12):
@@ -62,7 +63,7 @@
 
 
 def test_a_home_cut_off_under_a_small_limit():
-    """Both sides of the cut spend what they hold, and no more."""
+    """Each side of the cut spends only the units that it holds."""
     excess = excess_by_seed(
         2 * WINDOW, 0, 2, lambda simulation: simulation.cut(0, 1, 2)
     )
@@ -71,7 +72,7 @@
 
 @pytest.mark.parametrize('before', [0.5, 0.9])
 def test_large_requests_when_little_is_left(before):
-    """All entries begin one of the largest requests at the same moment."""
+    """All entries start one of the largest requests at the same time."""
     simulation = small_simulation(sizes=lambda: 1_000)
     simulation.run(2 * WINDOW)
     simulation.demand = HIGH_DEMAND
@@ -83,7 +84,7 @@
 
 
 def test_late_refusals_return_units():
-    """Requests are refused long after they were admitted."""
+    """Requests are refused long after their admission."""
     simulation = small_simulation(sizes=lambda: 10_000)
     simulation.run(2 * WINDOW)
     outcomes = repeat(Outcome(80, is_refused=True), 40)
@@ -94,7 +95,7 @@
 
 
 def test_all_nodes_killed_as_high_demand_begins():
-    """The next home does not know what was spent in the last moment."""
+    """The next home has no record of the latest spending."""
     excess = excess_by_seed(
         3 * WINDOW,
         0.3,
@@ -105,7 +106,7 @@
 
 
 def test_all_nodes_killed_after_a_sudden_burst():
-    """Too little was spent to be recorded, all of it in the last moment."""
+    """The spending is too small to be recorded, and all of it is recent."""
     simulation = small_simulation(sizes=lambda: 1_000)
     simulation.demand = 0
     simulation.run(2 * WINDOW)
@@ -120,13 +121,14 @@
 @pytest.mark.parametrize('entries', [8, 10, 77])
 @pytest.mark.parametrize('late', [0, 8, 16])
 def test_two_restarts_of_all_with_late_records(entries, late):
-    """Seen twice: 1 and 2 in 100 more than is tolerated ran in a window.
-
-    Course: the store is back, a workspace presses, all nodes are killed, and
-    four seconds later again. Cause: the record told what the home had heard to
-    be spent, which is late by a report, a look and a write; what was spent
-    since was known to nobody. Proof: where the record tells no more than that,
-    the course of seed 3 passes the limit with records 0.8 s late.
+    """Records that arrive late cover the spending up to the restart.
+
+    Guards against 1 or 2 in 100 more units in a window than tolerated. The
+    store is available again, a workspace is in high demand, and all nodes are
+    killed, and again four seconds later. The record contained only the
+    spending reported to the home, which is late by a report, a check and a
+    write, so later spending was lost. With such records 0.8 s late, seed 3
+    exceeds the limit.
     """
     seeds = 12 if entries < 77 else 2
     simulations = (
@@ -136,7 +138,7 @@
 
 
 def simulate_two_restarts(seed, entries, late):
-    """Play the course with moments drawn from a seed."""
+    """Run two restarts of all nodes at times drawn from a seed."""
     draw = Random(seed)
     simulation = QuotaSimulation(
         entries=entries,
@@ -161,7 +163,7 @@
 
 
 def test_a_home_that_hands_over_under_high_demand():
-    """Its units go on with their holders, and the next home hears of them."""
+    """Entries keep their units and report them to the next home."""
 
     def hand_over(simulation):
         simulation.hand_over(3)
@@ -186,7 +188,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.booleans(), EVENTS)
 def test_no_event_sequence_exceeds_the_limit(seed, is_queueing, events):
-    """Cuts, kills, freezes, jams, changed limits, a lost store, any order."""
+    """Cuts, kills, freezes, queues, changed limits, a lost store, any order."""
     outcomes = (
         run_after_queueing(seed, refused=0.3)
         if is_queueing
--- a/tests/test_gateway_named_limit.py
+++ b/tests/test_gateway_named_limit.py
@@ -1,14 +1,11 @@
-"""Let an upstream name a limit under a load that passes it.
-
-Seen: an upstream that had named 1 request a second got 12 in 4 s from entries
-that had passed on its answers, where 11 were allowed; one of 4.2 a second got
-36 instead of 30.
-How: usual load, no fault. Nine entries and the home went on to choose it by
-what runs there.
-Cause: no node read the limit; and nothing bound what all entries send to one
-upstream over time.
-Proof: the lines that tell what upstreams say, written on the code as it was,
-with what the upstream got after them.
+"""Check that the limit that an upstream names holds under a higher load.
+
+Guards against an upstream that named 1 request a second and got 12 in 4 s from
+entries that had passed on its answers, where 11 were allowed; one that named
+4.2 a second got 36 instead of 30. It happened under the usual load without a
+fault: nine entries and the home continued to choose the upstream by its running
+requests. No node read the limit, and nothing bounded the requests that all
+entries send to one upstream over time.
 """
 
 import anyio
@@ -26,18 +23,18 @@
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
 
-#: Seconds after the limit was named from which on it binds.
+#: Seconds after the limit was named from which it must be enforced.
 ENFORCED_AFTER = 3.0
 LOAD_SECONDS = ENFORCED_AFTER + WINDOW_SECONDS + 1
 #: Seconds between two requests of the callers of one entry.
 REQUEST_INTERVAL = 0.08
 ENTRIES = 4
-#: Part of the limit that callers who ask for more should get at least.
+#: Minimum part of the limit that callers must get under a higher load.
 MIN_USED_PART = 0.5
 
 
 class Observer:
-    """Hold what callers and one upstream saw."""
+    """Record what callers and one upstream observe."""
 
     def __init__(self, upstream):
         self.arrivals = note_arrivals(upstream)
@@ -72,7 +69,7 @@
 
 
 def name_limit(upstreams, rate):
-    """Let upstreams name a limit; return when, and who observes the first."""
+    """Let upstreams name a limit; return an observer and the time."""
     observer = Observer(upstreams[0])
     for upstream in upstreams:
         upstream.says = {'takes-a-second': str(rate)}
@@ -107,7 +104,7 @@
 
 @in_world
 async def test_refused_callers_get_a_retry_after(world):
-    """All that serve are limited, and the home ends in the midst of it."""
+    """All upstreams name a limit, and the home ends during the load."""
     rate = 3
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
     async with ending_gateway(world) as (home, life):
--- a/tests/test_gateway_permits.py
+++ b/tests/test_gateway_permits.py
@@ -1,4 +1,4 @@
-"""Permits: what all entries send stays inside what an upstream names."""
+"""Check that permits keep all entries within the limit of an upstream."""
 
 from itertools import accumulate
 
@@ -15,14 +15,14 @@
 )
 
 UPSTREAM = 'u-1'
-#: Longest time from a grant until its request arrives: that of a connection.
+#: Maximum seconds from a grant to its request's arrival: those of a connection.
 MAX_DELAY = 0.4
 RATES = st.sampled_from((0, 0.05, 0.3, 1, 4.2, 20, 300))
 PAUSES = st.lists(st.floats(0.001, 3), min_size=1, max_size=60)
 
 
 def acquire_permits(permits, times):
-    """Return when a caller that asks at some times gets a permit."""
+    """Return which of the times a caller gets a permit at."""
     sent = []
     for now in times:
         if UPSTREAM not in permits.withheld(now):
@@ -43,7 +43,7 @@
 
 @given(RATES, PAUSES, st.lists(st.floats(0, MAX_DELAY), min_size=1, max_size=9))
 def test_successive_homes_stay_within_the_limit(rate, tenures, delays):
-    """Each begins with no permit and knows nothing of the one before."""
+    """Each home starts without permits or the state of its predecessor."""
     arrivals = []
     ends = list(accumulate(tenures, initial=0))
     for begin, end in zip(ends, ends[1:], strict=False):
@@ -57,7 +57,7 @@
 
 @given(RATES, st.lists(st.floats(0.5, 60), min_size=1, max_size=9))
 def test_idle_time_accrues_only_a_small_burst(rate, idle_periods):
-    """All that come at once after a rest find the limit too."""
+    """Requests that arrive at once after an idle period are limited too."""
     permits = new_home(rate, 0)
     sent = []
     now = 0
@@ -77,9 +77,10 @@
 
 @pytest.mark.parametrize('uptime', (0, 1e5, 1e7, 1e9))
 def test_permits_are_given_at_any_uptime(uptime):
-    """Seconds have no digits left for the last part of a permit.
+    """Permits become available although the clock's resolution is limited.
 
-    At 1e7 s, four months, a home looked for it for ever.
+    At an uptime of 1e7 s, four months, the clock could not represent the time
+    until the next permit, and a home checked for it in an endless loop.
     """
     rate = 300
     sent = acquire_permits(
@@ -89,14 +90,14 @@
 
 
 def test_an_upstream_with_rate_zero_is_probed_rarely():
-    """Only its next answer can tell that it takes requests again."""
+    """Only its next answer can show that it accepts requests again."""
     sent = acquire_permits(new_home(0, 0), frequent_times(100))
     assert len(sent) == pytest.approx(100 * MIN_RATE, abs=1)
 
 
 @given(st.lists(RATES, min_size=2, max_size=20), st.floats(0.1, 2))
 def test_a_changing_limit_is_enforced(rates, each):
-    """Named anew each second, and below one in four seconds."""
+    """The limit changes each second, also to below one in four seconds."""
     permits = Permits()
     sent = []
     for number, rate in enumerate(rates):
--- a/tests/test_gateway_quota_courses.py
+++ b/tests/test_gateway_quota_courses.py
@@ -1,19 +1,19 @@
-"""Keep a large workspace inside its limit through cuts and kills."""
+"""Check that a large workspace stays within its limit despite faults."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from quota_world import LIMIT, MAX_UNITS, REQUEST_UNITS, WINDOW, QuotaSimulation
 
-#: Seconds after which nothing is assumed about the time before the start.
+#: Seconds after which no spending before the start is assumed any more.
 STARTUP_SECONDS = 2 * WINDOW
-#: Units a second of a workspace that sends 7.5 times its usual where limits
-#: are 1.8 times the usual, as the users' disturbances say.
+#: Units a second of a workspace that sends 7.5 times its usual load, where the
+#: limit is 1.8 times the usual load, as in the customers' fault scenarios.
 HIGH_DEMAND = LIMIT.rate * 7.5 / 1.8
 
 
 def test_a_home_cut_off_under_high_demand():
-    """Both sides of the cut spend what they hold, and no more."""
+    """Each side of the cut spends only the units that it holds."""
     simulation = QuotaSimulation(entries=7, demand=HIGH_DEMAND)
     simulation.run(STARTUP_SECONDS)
     simulation.demand = HIGH_DEMAND
@@ -26,7 +26,7 @@
 
 
 def test_a_home_cut_off_as_high_demand_begins():
-    """What is left when the cut comes is not given out on both sides."""
+    """The units left at the cut are not allocated on both sides."""
     simulation = QuotaSimulation(entries=7, demand=LIMIT.rate / 1.8)
     simulation.run(STARTUP_SECONDS)
     simulation.demand = HIGH_DEMAND
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize('lost', [(0,), (1,), (0, 3)])
 def test_usual_traffic_is_served_with_nodes_away(lost):
-    """Limits are 1.8 times the usual: a cut or a kill refuses next to none."""
+    """With limits of 1.8 times the usual load, faults refuse few requests."""
     simulation = QuotaSimulation(entries=7, demand=LIMIT.rate / 1.8)
     simulation.run(STARTUP_SECONDS * 2)
     simulation.refused = 0
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize('entries', [7, 77])
 def test_many_busy_entries_stay_within_the_limit(entries):
-    """Each entry may begin one request with whatever it holds."""
+    """Entries in high demand use the limit and do not exceed it."""
     simulation = QuotaSimulation(entries=entries, demand=LIMIT.rate / 1.8)
     simulation.run(STARTUP_SECONDS)
     simulation.demand = HIGH_DEMAND
@@ -79,7 +79,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(EVENTS)
 def test_no_cuts_or_kills_exceed_the_limit(events):
-    """Cuts, kills and presses in any order, among them of the home."""
+    """Cuts, kills and high demand in any order, also at the home."""
     simulation = QuotaSimulation(entries=7, demand=LIMIT.rate / 1.8)
     simulation.run(WINDOW)
     for name, node_numbers, seconds in events:
--- a/tests/test_gateway_quotas.py
+++ b/tests/test_gateway_quotas.py
@@ -1,4 +1,4 @@
-"""Keep a workspace inside its limit, whatever happens to the nodes."""
+"""Check that a workspace stays within its limit whatever nodes do."""
 
 from dataclasses import replace
 from itertools import product
@@ -23,12 +23,12 @@
 )
 
 ENTRIES = 9
-#: Seconds after which nothing is assumed about the time before the start.
+#: Seconds after which no spending before the start is assumed any more.
 STARTUP_SECONDS = 2 * WINDOW
 
 
 def spend_all(entries, now, most=50):
-    """Let each entry spend until it refuses or has no more; sum it up."""
+    """Let each entry spend up to ``most`` requests; return the units spent."""
     total = 0
     for entry, _ in product(entries, range(most)):
         if entry.try_spend('large', LIMIT, REQUEST_UNITS, now):
@@ -37,12 +37,12 @@
 
 
 def level(home, now):
-    """Return what is left of the limit, in the pool or held."""
+    """Return the units left of the limit, in the pool or held."""
     return home.usage('large', LIMIT, now).level
 
 
 def spend_or_ask(home, place, entry, now):
-    """Spend a request; what it lacks is asked of the home."""
+    """Spend one request; request missing units from the home."""
     if entry.try_spend('large', LIMIT, REQUEST_UNITS, now):
         return REQUEST_UNITS
     missing = entry.missing('large', LIMIT, REQUEST_UNITS, now)
@@ -56,7 +56,7 @@
 
 
 def exchange_reports(home, entries, now):
-    """Let each entry report to the home and follow what it gives."""
+    """Let each entry report to the home and apply its allocation."""
     reports = [entry.report(LIMITS, now) for entry in entries]
     for place, report in enumerate(reports):
         home.apply_report(str(place), report, LIMITS, now)
@@ -67,13 +67,13 @@
 
 
 def give(entry, units, left=LIMIT.total, reported=None):
-    """Let a home give an entry units, of so many that are left."""
+    """Apply an allocation of ``units`` at an entry, of ``left`` units left."""
     row = GivenUnits({'large': units}, {}, {'large': left})
     entry.apply_given(row, reported or EntrySpending(), LIMITS, 0)
 
 
 def test_restarts_stay_within_the_limit():
-    """All nodes are killed twice in one window while a workspace presses."""
+    """All nodes are killed twice in one window under high demand."""
     total = 0
     entries = fresh_entries()
     for step in range(WINDOW * 10):
@@ -90,7 +90,7 @@
     for step in range(WINDOW * 8):
         now = STARTUP_SECONDS + step / 4
         exchange_reports(home, entries, now)
-        # Each entry gets 4 requests a tick: eight times the rate in all.
+        # Each entry gets 4 requests a step: eight times the rate in all.
         total += sum(
             spend_or_ask(home, place, entries[place], now)
             for place, _ in product(range(ENTRIES), range(4))
@@ -113,7 +113,7 @@
 
 
 def test_a_new_home_counts_only_new_spending():
-    """The home dies silently after entries have served for a long time."""
+    """The home fails after entries have served for a long time."""
     home, entries = QuotaAllocator(TOLERANCE), fresh_entries()
     lost_at = STARTUP_SECONDS * 4
     for step in range(lost_at):
@@ -126,7 +126,7 @@
     successor = QuotaAllocator(TOLERANCE)
     exchange_reports(successor, entries, lost_at)
     left = level(successor, lost_at)
-    # Ages are told in whole seconds, youngest first.
+    # Ages are reported in whole seconds, so the level may be lower.
     assert expected - ENTRIES * REQUEST_UNITS <= left <= expected
 
 
@@ -143,7 +143,7 @@
 
 
 def test_spending_without_a_home_counts():
-    """A new home adds what restarted entries spent before it came."""
+    """A new home adds what an entry spent before its first report."""
     home = QuotaAllocator()
     home.apply_report('home', EntrySpending(), LIMITS, 0)
     before = level(home, STARTUP_SECONDS)
@@ -156,7 +156,7 @@
 
 
 def test_a_stored_record_replaces_lost_reports():
-    """All nodes were killed; the next home reads what was spent when."""
+    """After a kill of all nodes, the next home reads the spending by age."""
     before = QuotaAllocator()
     before.apply_report('home', EntrySpending(), LIMITS, 0)
     spent = EntrySpending({'large': LIMIT.total})
@@ -168,7 +168,7 @@
 
 
 def test_a_large_request_may_overdraw_the_pool():
-    """The pool pays for a request larger than what is left, one at a time."""
+    """The pool may be overdrawn for a large request, one at a time."""
     home = QuotaAllocator(TOLERANCE)
     for place in range(ENTRIES):
         home.apply_report(str(place), EntrySpending(), LIMITS, STARTUP_SECONDS)
@@ -179,7 +179,7 @@
 
 
 def test_an_entry_that_was_silent_is_counted_once():
-    """It asks before it reports again; the pool is whole in the end."""
+    """A request for units before the next report does not distort the pool."""
     home = QuotaAllocator(TOLERANCE)
     for place in range(ENTRIES):
         home.apply_report(str(place), EntrySpending(), LIMITS, STARTUP_SECONDS)
@@ -210,7 +210,7 @@
 
 
 def test_an_entry_without_a_home_keeps_what_it_holds():
-    """It gets back what it spent, and no part of what others spent."""
+    """Its own spending becomes available again; that of others does not."""
     quotas = Quotas(entries=ENTRIES)
     part = LIMIT.total / ENTRIES
     give(quotas, part)
@@ -250,7 +250,7 @@
 
 
 def test_returned_units_cancel_at_the_time_of_spending():
-    """What came back is gone from the sum no longer than its spending."""
+    """Returned units leave the window together with their spending."""
     home, entry = QuotaAllocator(), Quotas()
     home.apply_report(
         'e', entry.report(LIMITS, STARTUP_SECONDS), LIMITS, STARTUP_SECONDS
@@ -272,7 +272,7 @@
 
 
 def test_an_entry_that_runs_out_asks_for_more():
-    """Units are given out by demand: the entry does not wait its turn."""
+    """An entry requests units on demand, before its next report is due."""
     quotas = Quotas()
     give(quotas, 5 * REQUEST_UNITS)
     assert not quotas.is_low()
@@ -290,7 +290,7 @@
 
 
 def test_a_lower_limit_takes_effect_a_window_later():
-    """A span is held to the limits that were in force during it."""
+    """An interval is held to the limits that were in force during it."""
     limits = LimitsInForce()
     lower = {'large': replace(LIMIT, rate=LIMIT.rate / 4)}
     assert limits.at(LIMITS, 0) == LIMITS
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -1,4 +1,4 @@
-"""Ask the home for units that a request lacks at an entry."""
+"""Check requests to the home for units that an entry lacks."""
 
 from http import HTTPStatus
 from types import SimpleNamespace
@@ -26,9 +26,9 @@
 from support import run_async, wait_until
 
 LIMITS = {'w': Limit(rate=1, burst=100, window=8)}
-#: Seconds in which the limit of the gateways here holds.
+#: Seconds of the quota window of the gateways here.
 WINDOW = 1.5
-#: Requests that the limit of the gateways here allows in a window.
+#: Requests that the limit of the gateways here allows in one window.
 MAX_REQUESTS = 5
 ATTEMPTS = 15
 RATE = 0.01
@@ -36,7 +36,7 @@
 
 
 def entry_that_holds(units):
-    """Return the state of an entry to which a home gave so many units."""
+    """Return the state of an entry to which a home allocated units."""
     quotas = Quotas()
     given = GivenUnits({'w': units}, {}, {'w': 100})
     quotas.apply_given(given, EntrySpending(), LIMITS, 0)
@@ -51,7 +51,7 @@
 
 
 def obtain(answers, units=50, state=None):
-    """Ask for units; the home answers with the units given, if it does."""
+    """Request units; the home sends the given answers, if any."""
     state = state or entry_that_holds(10)
     requests = UnitRequests(state)
     asked = []
@@ -90,7 +90,7 @@
 
 
 def test_a_late_answer_counts():
-    """The home counts it as held here, so it must not be lost."""
+    """The home counts the units as held by the entry: they must not be lost."""
     state = entry_that_holds(10)
     requests = UnitRequests(state)
 
@@ -112,13 +112,13 @@
 
 
 async def two_entries(world, behaviour):
-    """Start two gateways before one limit; return the home and the other."""
+    """Start two gateways with one limit; return the home and the other."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'], RATE, MAX_REQUESTS)])
     await world.add_upstream(behaviour)
     bounds = {'quota_window_seconds': WINDOW, 'quota_allowance': MAX_REQUESTS}
     states = [await world.add_gateway(**bounds) for _ in range(2)]
     await wait_until(lambda: all(row.quotas.entries == 2 for row in states))
-    # Until then a new home takes a part of the limit as spent.
+    # Until then a new home assumes that a part of the limit is spent.
     await anyio.sleep(WINDOW + SLOT_SECONDS)
     return sorted(states, key=lambda row: row.tenure is None)
 
@@ -133,9 +133,9 @@
 
 @in_world
 async def test_one_entry_is_served_the_whole_limit(world):
-    """What exceeds its part comes from the pool, and from others in time.
+    """Units beyond its share come from the pool, and later from others.
 
-    The pool may fall below nothing for one request.
+    The pool may be overdrawn for one request.
     """
     _, other = await two_entries(world, whole())
     answers = []
@@ -161,7 +161,7 @@
 
 @in_world
 async def test_the_record_is_removed_when_demand_falls(world):
-    """A record that stayed would hold for a home much later."""
+    """A record that stayed would be applied by a much later home."""
     _, other = await two_entries(world, whole())
     assert SPENDING_KEY not in world.store.items
     await statuses(other, MAX_REQUESTS)
@@ -172,7 +172,7 @@
 
 
 def recorded(world):
-    """Return what the store says of spending, by workspace and age."""
+    """Return the recorded spending by workspace and age."""
     item = world.store.items.get(SPENDING_KEY)
     if item is None:
         return {}
