--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
@@ -42,7 +42,10 @@
     recent_at_silence: Units | None = None
 
     def record_allocation(
-        self, workspace: str, units: float, beyond: float
+        self,
+        workspace: str,
+        units: float,
+        beyond: float,
     ) -> None:
         """Record an allocation sent with a table that may not arrive."""
         self.given[workspace] = units
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
@@ -91,7 +91,9 @@
         return spent + predecessor.larger(limit, now).spent
 
     def spending_to_record(
-        self, limits: Limits, now: float
+        self,
+        limits: Limits,
+        now: float,
     ) -> dict[str, ByAge]:
         """Return the spending, by age, of workspaces that need a record."""
         return {
@@ -109,7 +111,10 @@
         return spent > limit.total * RECORDED_PART
 
     def _known_spending(
-        self, workspace: str, limit: Limit, now: float
+        self,
+        workspace: str,
+        limit: Limit,
+        now: float,
     ) -> float:
         spent = self._spending_of(workspace).recent(limit.window, now)
         returned = self._returned.get(workspace)
@@ -126,7 +131,10 @@
         return sum_ages(rows)
 
     def _unreported_spending(
-        self, workspace: str, limit: Limit, now: float
+        self,
+        workspace: str,
+        limit: Limit,
+        now: float,
     ) -> float:
         """Estimate the spending that reports and records do not cover yet."""
         spent = self._spending_of(workspace)
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
@@ -151,7 +151,9 @@
         return sum(bucket.rate for bucket in buckets if bucket is not None)
 
     def _update_availability(
-        self, lifetime: Lifetime, bucket: TokenBucket
+        self,
+        lifetime: Lifetime,
+        bucket: TokenBucket,
     ) -> None:
         """Update whether the upstream has permits; schedule the next check."""
         if bucket.is_empty:
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
@@ -117,9 +117,11 @@
         at the current time would count them as unspent after the spending has
         left the window, so that as many units could run twice.
         """
-        own_spending = self._own.get(workspace)
-        if own_spending is None or not own_spending.holds(
-            spent_at, limit.window, now
+        own = self._own.get(workspace)
+        if own is None or not own.holds(
+            spent_at,
+            limit.window,
+            now,
         ):
             return
         returned = self._returned.setdefault(workspace, Spending())
@@ -221,7 +223,8 @@
             recent=_by_age(self._own, limits, now),
             held={
                 workspace: max(
-                    0, self._available_standalone(workspace, limit, now)
+                    0,
+                    self._available_standalone(workspace, limit, now),
                 )
                 for workspace, limit in known.items()
             },
@@ -249,7 +252,10 @@
             allocation.given = None
 
     def _available_standalone(
-        self, workspace: str, limit: Limit, now: float
+        self,
+        workspace: str,
+        limit: Limit,
+        now: float,
     ) -> float:
         """Return what may be spent here if no home is reachable from now on."""
         left = self.available(workspace, limit, now)
@@ -268,7 +274,10 @@
         return recent - returned.recent(limit.window, now)
 
     def _allocation_of(
-        self, workspace: str, limit: Limit, now: float
+        self,
+        workspace: str,
+        limit: Limit,
+        now: float,
     ) -> Allocation:
         """Return the allocation, initially an assumed part of the limit.
 
@@ -292,8 +301,7 @@
 ) -> dict[str, ByAge]:
     """Return the nonzero spending of the window, by age."""
     return {
-        workspace: own_spending.by_age(now)
-        for workspace, own_spending in spending.items()
-        if workspace in limits
-        and own_spending.recent(limits[workspace].window, now)
+        workspace: own.by_age(now)
+        for workspace, own in spending.items()
+        if workspace in limits and own.recent(limits[workspace].window, now)
     }
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
@@ -179,7 +179,9 @@
         )
 
     def spending_to_record(
-        self, limits: Limits, now: float
+        self,
+        limits: Limits,
+        now: float,
     ) -> dict[str, ByAge]:
         """Return the spending, by age, of workspaces that need a record."""
         return self.spending.spending_to_record(limits, now)
@@ -225,7 +227,8 @@
             if limit is not None:
                 self.spending.add(workspace, units, now)
                 own_spending = account.own_spending.setdefault(
-                    workspace, Spending()
+                    workspace,
+                    Spending(),
                 )
                 own_spending.spend(units, limit.window, now)
 
@@ -275,6 +278,9 @@
         if self._predecessor is not None:
             known = len(self._entries)
             silent_units += self._predecessor.unknown(
-                workspace, limit, known, now
+                workspace,
+                limit,
+                known,
+                now,
             )
         return silent_units
--- a/tests/quota_requests.py
+++ b/tests/quota_requests.py
@@ -65,7 +65,8 @@
             due -= size
             del self._next[name]
             self._try_admit(
-                UnadmittedRequest(node, node.key, size, self.now), try_spend
+                UnadmittedRequest(node, node.key, size, self.now),
+                try_spend,
             )
         self._due[name] = due
 
@@ -90,7 +91,12 @@
         outcome = self.outcomes()
         due = self.step + outcome.steps
         pending = PendingRequest(
-            due, next(self._order), node, outcome, sent_at, size
+            due,
+            next(self._order),
+            node,
+            outcome,
+            sent_at,
+            size,
         )
         heappush(self._pending, pending)
         self.finish_due()
--- a/tests/quota_traffic.py
+++ b/tests/quota_traffic.py
@@ -23,7 +23,7 @@
     def size() -> float:
         mean = draw.choices((1_100, 2_400, 12_000), (60, 25, 15))[0]
         return round(
-            min(LARGEST_REQUEST_UNITS, mean * draw.lognormvariate(-0.5, 1))
+            min(LARGEST_REQUEST_UNITS, mean * draw.lognormvariate(-0.5, 1)),
         )
 
     return size
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -117,7 +117,8 @@
         for node in self.nodes:
             if node is not self.home:
                 node.handover_seen_at = self.step + self._draw.randint(
-                    1, HANDOVER_NOTICE_STEPS
+                    1,
+                    HANDOVER_NOTICE_STEPS,
                 )
 
     def change_limit(self, part):
@@ -130,7 +131,8 @@
         self.limit = replace(self.limit, rate=rate, burst=burst)
         for node in self.nodes:
             node.config_applied_at = self.step + self._draw.randint(
-                1, APPLY_STEPS
+                1,
+                APPLY_STEPS,
             )
 
     def run(self, seconds):
--- a/tests/test_gateway_limit_promise.py
+++ b/tests/test_gateway_limit_promise.py
@@ -65,7 +65,10 @@
 def test_a_home_cut_off_under_a_small_limit():
     """Each side of the cut spends only the units that it holds."""
     excess = excess_by_seed(
-        2 * WINDOW, 0, 2, lambda simulation: simulation.cut(0, 1, 2)
+        2 * WINDOW,
+        0,
+        2,
+        lambda simulation: simulation.cut(0, 1, 2),
     )
     assert max(excess) <= 0, excess
 
--- a/tests/test_gateway_named_limit.py
+++ b/tests/test_gateway_named_limit.py
@@ -59,7 +59,7 @@
         self.statuses.append(answer.status)
         if answer.status == 503:
             self.retry_after_seconds.append(
-                float(answer.headers['retry-after'])
+                float(answer.headers['retry-after']),
             )
         if 'takes-a-second' in answer.headers:
             self.passed_on.setdefault(entry, anyio.current_time())
@@ -121,7 +121,8 @@
     await call_all(observer, gateways, WINDOW_SECONDS)
     enforced_from = named_at + ENFORCED_AFTER
     assert max_in_window(
-        observer.informed_arrivals(), enforced_from
+        observer.informed_arrivals(),
+        enforced_from,
     ) <= allowed(rate)
     assert (
         len(observer.arrivals) - before >= MIN_USED_PART * rate * WINDOW_SECONDS
--- a/tests/test_gateway_permits.py
+++ b/tests/test_gateway_permits.py
@@ -84,7 +84,8 @@
     """
     rate = 300
     sent = acquire_permits(
-        new_home(rate, uptime), frequent_times(5, uptime, 0.0007)
+        new_home(rate, uptime),
+        frequent_times(5, uptime, 0.0007),
     )
     assert len(sent) == pytest.approx(rate * 5, rel=0.02)
 
@@ -104,7 +105,7 @@
         begin = number * each
         permits.set_rate(UPSTREAM, rate, begin)
         sent.extend(
-            acquire_permits(permits, frequent_times(each, begin, step=0.05))
+            acquire_permits(permits, frequent_times(each, begin, step=0.05)),
         )
         first = begin - WINDOW_SECONDS
         named = [
--- a/tests/test_gateway_quotas.py
+++ b/tests/test_gateway_quotas.py
@@ -137,7 +137,10 @@
     home.apply_report('home', EntrySpending(), LIMITS, 0)
     before = level(home, STARTUP_SECONDS)
     home.apply_report(
-        'alone', alone.report(LIMITS, STARTUP_SECONDS), LIMITS, STARTUP_SECONDS
+        'alone',
+        alone.report(LIMITS, STARTUP_SECONDS),
+        LIMITS,
+        STARTUP_SECONDS,
     )
     assert level(home, STARTUP_SECONDS) == before
 
@@ -150,7 +153,10 @@
     other = Quotas()
     assert other.try_spend('large', LIMIT, REQUEST_UNITS, STARTUP_SECONDS)
     home.apply_report(
-        'other', other.report(LIMITS, STARTUP_SECONDS), LIMITS, STARTUP_SECONDS
+        'other',
+        other.report(LIMITS, STARTUP_SECONDS),
+        LIMITS,
+        STARTUP_SECONDS,
     )
     assert before - level(home, STARTUP_SECONDS) == REQUEST_UNITS
 
@@ -217,10 +223,10 @@
     assert quotas.try_spend('large', LIMIT, REQUEST_UNITS, 0)
     quotas.enter_standalone(LIMITS, 0)
     assert round(quotas.available('large', LIMIT, 0)) == round(
-        part - REQUEST_UNITS
+        part - REQUEST_UNITS,
     )
     assert round(quotas.available('large', LIMIT, STARTUP_SECONDS)) == round(
-        part
+        part,
     )
 
 
@@ -232,7 +238,11 @@
     for row in spent:
         assert quotas.try_spend('large', LIMIT, sum(row), STARTUP_SECONDS)
         quotas.give_back(
-            'large', LIMIT, sum(row), STARTUP_SECONDS, STARTUP_SECONDS + 1
+            'large',
+            LIMIT,
+            sum(row),
+            STARTUP_SECONDS,
+            STARTUP_SECONDS + 1,
         )
     assert quotas.available('large', LIMIT, STARTUP_SECONDS + 1) == before
     assert quotas.brief_report(LIMITS, STARTUP_SECONDS + 1).net == {'large': 0}
@@ -253,7 +263,10 @@
     """Returned units leave the window together with their spending."""
     home, entry = QuotaAllocator(), Quotas()
     home.apply_report(
-        'e', entry.report(LIMITS, STARTUP_SECONDS), LIMITS, STARTUP_SECONDS
+        'e',
+        entry.report(LIMITS, STARTUP_SECONDS),
+        LIMITS,
+        STARTUP_SECONDS,
     )
     entry.apply_given(
         home.allocate('e', LIMITS, STARTUP_SECONDS),
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -166,7 +166,7 @@
     assert SPENDING_KEY not in world.store.items
     await statuses(other, MAX_REQUESTS)
     await wait_until(
-        lambda: sum(recorded(world).get('w', ())) > MAX_REQUESTS / 2
+        lambda: sum(recorded(world).get('w', ())) > MAX_REQUESTS / 2,
     )
     await wait_until(lambda: not recorded(world))
 
