--- a/tests/quota_events.py
+++ b/tests/quota_events.py
@@ -34,7 +34,7 @@
 
 
 def _lose_store(simulation, node_numbers):
-    simulation.store_is_away = True
+    simulation.store_is_unavailable = True
 
 
 def _slow_store(simulation, node_numbers):
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -56,8 +56,8 @@
     seed: int = 0
     epoch: int = 0
     home: Node | None = None
-    levels: QuotaAllocator | None = None
-    store_is_away: bool = False
+    allocator: QuotaAllocator | None = None
+    store_is_unavailable: bool = False
     store: RecordStore = field(default_factory=RecordStore)
     steps_without_home: int = 0
     steps_without_store: int = 0
@@ -89,7 +89,7 @@
             self.nodes[number].frozen = 0
 
     def heal(self):
-        self.store_is_away = False
+        self.store_is_unavailable = False
         for node in self.nodes:
             node.heal(LINK_STEPS, self.now)
 
@@ -111,7 +111,7 @@
             for number in node_numbers
             if self.nodes[number].is_reachable
         ]
-        if self.home is None or not eligible or self.store_is_away:
+        if self.home is None or not eligible or self.store_is_unavailable:
             return
         self._become_home(eligible[0])
         for node in self.nodes:
@@ -175,7 +175,7 @@
         if home is None:
             return
         self.steps_without_store += 1
-        if not self.store_is_away:
+        if not self.store_is_unavailable:
             self.steps_without_store = 0
         waited = max(home.cut or 0, home.frozen or 0, self.steps_without_store)
         if waited < LEASE_STEPS:
@@ -186,16 +186,16 @@
 
     def _record(self):
         is_due = self.step % RECORD_STEPS == 0 and self.home.is_reachable
-        if is_due and not self.store_is_away and not self.store.is_busy:
+        if is_due and not self.store_is_unavailable and not self.store.is_busy:
             limits = self.home.limits_at(self.now)
-            spent = self.levels.spending_to_record(limits, self.now)
+            spent = self.allocator.spending_to_record(limits, self.now)
             self.store.send(PendingRecord(self.step, self.epoch, spent))
             self._store_records()
 
     def _store_records(self):
         """Store the records that arrive, also those of a killed home."""
         sent = self.store.take_arrived(self.step)
-        if sent and not self.store_is_away and sent.epoch == self.epoch:
+        if sent and not self.store_is_unavailable and sent.epoch == self.epoch:
             self.store.record = sent.spent
 
     def _elect_home(self):
@@ -205,14 +205,14 @@
             for lost in eligible:
                 lost.enter_standalone(self.now)
         is_free = self.steps_without_home >= SUCCESSOR_STEPS - LEASE_STEPS
-        if is_free and eligible and not self.store_is_away:
+        if is_free and eligible and not self.store_is_unavailable:
             self._become_home(eligible[0])
 
     def _become_home(self, node):
         self.epoch += 1
         self.home = node
         self.steps_without_store = 0
-        self.levels = QuotaAllocator(
+        self.allocator = QuotaAllocator(
             TOLERANCE,
             FleetSpending(self.store.record),
         )
@@ -245,11 +245,11 @@
             report = node.quotas.report(own_limits, self.now)
         node.known_epoch = self.epoch
         limits = self.home.limits_at(self.now)
-        self.levels.apply_report(node.key, report, limits, self.now)
+        self.allocator.apply_report(node.key, report, limits, self.now)
         steps = 0 if is_home else self._draw.randint(0, self.transit)
         node.table = Table(
             self.step + steps,
-            self.levels.allocate(node.key, limits, self.now),
+            self.allocator.allocate(node.key, limits, self.now),
             report,
         )
         self._apply_table(node)
@@ -269,7 +269,7 @@
             return False
         limits = self.home.limits_at(self.now)
         key = node.key
-        lent = self.levels.lend(key, 'large', missing, limits, self.now)
+        lent = self.allocator.lend(key, 'large', missing, limits, self.now)
         quotas.apply_lent('large', lent, self.now)
         return quotas.try_spend('large', limit, size, self.now)
 
--- a/tests/test_gateway_limit_promise.py
+++ b/tests/test_gateway_limit_promise.py
@@ -86,7 +86,7 @@
     assert simulation.max_excess <= 0
 
 
-def test_late_refusals_return_units():
+def test_late_refusals_stay_within_the_limit():
     """Requests are refused long after their admission."""
     simulation = small_simulation(sizes=lambda: 10_000)
     simulation.run(2 * WINDOW)
@@ -126,12 +126,12 @@
 def test_two_restarts_of_all_with_late_records(entries, late):
     """Records that arrive late cover the spending up to the restart.
 
-    Guards against 1 or 2 in 100 more units in a window than tolerated. The
-    store is available again, a workspace is in high demand, and all nodes are
-    killed, and again four seconds later. The record contained only the
-    spending reported to the home, which is late by a report, a check and a
-    write, so later spending was lost. With such records 0.8 s late, seed 3
-    exceeds the limit.
+    Guards against two observed cases in which 1 and 2 in 100 more units ran in
+    a window than tolerated. The store becomes available again, a workspace is
+    in high demand, and all nodes are killed, and again four seconds later. The
+    record contained only the spending reported to the home, which is late by a
+    report, a check and a write, so later spending was lost. With such records
+    0.8 s late, seed 3 exceeds the limit.
     """
     seeds = 12 if entries < 77 else 2
     simulations = (
@@ -152,9 +152,9 @@
     )
     simulation.store.steps = late
     simulation.run(WINDOW + draw.uniform(0, 3))
-    simulation.store_is_away = True
+    simulation.store_is_unavailable = True
     simulation.run(draw.uniform(3, 4.5))
-    simulation.store_is_away = False
+    simulation.store_is_unavailable = False
     simulation.run(draw.uniform(0, 1.5))
     simulation.demand = LIMIT.rate / 1.8 * draw.uniform(4, 7.5)
     simulation.run(draw.uniform(0.2, 2))
--- a/tests/test_gateway_permits.py
+++ b/tests/test_gateway_permits.py
@@ -22,7 +22,7 @@
 
 
 def acquire_permits(permits, times):
-    """Return which of the times a caller gets a permit at."""
+    """Return the times, out of those given, at which a caller gets a permit."""
     sent = []
     for now in times:
         if UPSTREAM not in permits.withheld(now):
--- a/tests/test_gateway_quotas.py
+++ b/tests/test_gateway_quotas.py
@@ -41,7 +41,7 @@
     return home.usage('large', LIMIT, now).level
 
 
-def spend_or_ask(home, place, entry, now):
+def spend_or_request(home, place, entry, now):
     """Spend one request; request missing units from the home."""
     if entry.try_spend('large', LIMIT, REQUEST_UNITS, now):
         return REQUEST_UNITS
@@ -92,7 +92,7 @@
         exchange_reports(home, entries, now)
         # Each entry gets 4 requests a step: eight times the rate in all.
         total += sum(
-            spend_or_ask(home, place, entries[place], now)
+            spend_or_request(home, place, entries[place], now)
             for place, _ in product(range(ENTRIES), range(4))
         )
     assert total <= LIMIT.total * 2 * 1.1 + 140_000
