--- a/tests/quota_nodes.py
+++ b/tests/quota_nodes.py
@@ -42,7 +42,7 @@
     #: Step at which the node receives that the home has handed over.
     handover_seen_at: int = 0
     #: Epoch of the home that last received a report of this node.
-    known_epoch: int = 0
+    home_epoch: int = 0
     table: Table | None = None
 
     @property
@@ -80,7 +80,7 @@
         self.dead = 0
         self.frozen = None
         self.incarnation += 1
-        self.known_epoch = 0
+        self.home_epoch = 0
         self.table = None
         self.quotas = quotas
         self.limits = LimitsInForce()
@@ -106,7 +106,7 @@
     def enter_standalone(self, now):
         """Continue without a home."""
         self.table = None
-        self.known_epoch = 0
+        self.home_epoch = 0
         self.quotas.enter_standalone(self.limits_at(now), now)
 
 
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -158,8 +158,8 @@
                 node.configured = self.limit
         if all(row.configured == self.limit for row in self.nodes):
             self._rolling_out.clear()
-        for earlier_limits in self._rolling_out:
-            earlier_limits[0] = self.now
+        for former in self._rolling_out:
+            former[0] = self.now
 
     def _run_home(self):
         self._step_down()
@@ -234,7 +234,7 @@
             return
         if self.home.cut is not None and not is_home:
             return
-        is_new = node.known_epoch != self.epoch
+        is_new = node.home_epoch != self.epoch
         if node.table is not None and not is_new:
             return
         if self.step % REPORT_STEPS and not is_new:
@@ -243,7 +243,7 @@
         report = node.quotas.brief_report(own_limits, self.now)
         if is_new:
             report = node.quotas.report(own_limits, self.now)
-        node.known_epoch = self.epoch
+        node.home_epoch = self.epoch
         limits = self.home.limits_at(self.now)
         self.allocator.apply_report(node.key, report, limits, self.now)
         steps = 0 if is_home else self._draw.randint(0, self.transit)
@@ -275,11 +275,7 @@
 
     def _reaches_home(self, node):
         home = self.home
-        if (
-            home is None
-            or not home.is_running
-            or node.known_epoch != self.epoch
-        ):
+        if home is None or not home.is_running or node.home_epoch != self.epoch:
             return False
         return node is home or (node.cut is None and home.cut is None)
 
