--- a/tests/test_gateway_permits.py
+++ b/tests/test_gateway_permits.py
@@ -90,7 +90,7 @@
     assert len(sent) == pytest.approx(rate * 5, rel=0.02)
 
 
-def test_an_upstream_with_rate_zero_is_probed_rarely():
+def test_rate_zero_is_probed_rarely():
     """Only its next answer can show that it accepts requests again."""
     sent = acquire_permits(new_home(0, 0), frequent_times(100))
     assert len(sent) == pytest.approx(100 * MIN_RATE, abs=1)
--- a/tests/test_gateway_quotas.py
+++ b/tests/test_gateway_quotas.py
@@ -99,7 +99,7 @@
     assert total >= LIMIT.total * 2 * 0.9
 
 
-def test_a_new_home_continues_from_reported_levels():
+def test_a_new_home_continues_from_known_levels():
     home, entries = QuotaAllocator(TOLERANCE), fresh_entries()
     exchange_reports(home, entries, 0)
     exchange_reports(home, entries, STARTUP_SECONDS)
@@ -130,7 +130,7 @@
     assert expected - ENTRIES * REQUEST_UNITS <= left <= expected
 
 
-def test_spending_outside_the_window_does_not_count():
+def test_spending_before_the_window_is_ignored():
     alone = Quotas()
     assert alone.try_spend('large', LIMIT, REQUEST_UNITS, 0)
     home = QuotaAllocator()
@@ -215,7 +215,7 @@
     assert not quotas.try_spend('large', LIMIT, 1, 0)
 
 
-def test_an_entry_without_a_home_keeps_what_it_holds():
+def test_a_standalone_entry_keeps_what_it_holds():
     """Its own spending becomes available again; that of others does not."""
     quotas = Quotas(entries=ENTRIES)
     part = LIMIT.total / ENTRIES
@@ -230,7 +230,7 @@
     )
 
 
-def test_units_of_requests_that_did_not_run_are_returned():
+def test_units_of_refused_requests_are_returned():
     quotas = Quotas()
     quotas.available('large', LIMIT, 0)
     before = quotas.available('large', LIMIT, STARTUP_SECONDS)
@@ -248,7 +248,7 @@
     assert quotas.brief_report(LIMITS, STARTUP_SECONDS + 1).net == {'large': 0}
 
 
-def test_units_returned_after_the_window_are_ignored():
+def test_units_returned_too_late_are_ignored():
     """Their spending has left the window, so there is nothing to cancel."""
     quotas = Quotas()
     quotas.available('large', LIMIT, 0)
@@ -259,7 +259,7 @@
     assert quotas.available('large', LIMIT, late) == before
 
 
-def test_returned_units_cancel_at_the_time_of_spending():
+def test_returned_units_cancel_at_their_spending():
     """Returned units leave the window together with their spending."""
     home, entry = QuotaAllocator(), Quotas()
     home.apply_report(
@@ -302,7 +302,7 @@
     assert quotas.may_get_more('large', 1, DENIAL_BACKOFF_SECONDS)
 
 
-def test_a_lower_limit_takes_effect_a_window_later():
+def test_a_lower_limit_applies_a_window_later():
     """An interval is held to the limits that were in force during it."""
     limits = LimitsInForce()
     lower = {'large': replace(LIMIT, rate=LIMIT.rate / 4)}
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -79,11 +79,11 @@
         ([], (False, [40], 10)),
     ],
 )
-def test_missing_units_are_requested_from_the_home(answers, expected):
+def test_missing_units_are_requested(answers, expected):
     assert obtain(answers) == expected
 
 
-def test_an_entry_without_a_home_requests_no_units():
+def test_a_standalone_entry_requests_no_units():
     state = entry_that_holds(10)
     state.quotas.enter_standalone(LIMITS, 0)
     assert obtain([40], state=state) == (False, [], 10)
@@ -152,7 +152,7 @@
 
 
 @in_world
-async def test_units_of_requests_that_did_not_run_are_returned(world):
+async def test_units_of_refused_requests_are_returned(world):
     _, other = await two_entries(world, refused())
     assert set(await statuses(other, 2 * MAX_REQUESTS)) == {503}
     returned = other.counters.units_returned.labels('w')
