--- a/tests/quota_nodes.py
+++ b/tests/quota_nodes.py
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True, order=True)
-class PendingRequest:
+class AdmittedRequest:
     """Hold an admitted request until it runs or is refused."""
 
     due: int
--- a/tests/quota_requests.py
+++ b/tests/quota_requests.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from limit_checker import Run, max_in_window
-from quota_nodes import WINDOW, Node, PendingRequest
+from quota_nodes import WINDOW, AdmittedRequest, Node
 from quota_traffic import Outcome, equal_sizes, run_immediately
 
 STEP = 0.05
@@ -41,7 +41,7 @@
     refused: int = 0
     _due: dict[str, float] = field(default_factory=dict)
     _next: dict[str, float] = field(default_factory=dict)
-    _pending: list[PendingRequest] = field(default_factory=list)
+    _pending: list[AdmittedRequest] = field(default_factory=list)
     _unadmitted: list[UnadmittedRequest] = field(default_factory=list)
     _order: count = field(default_factory=count)
 
@@ -90,7 +90,7 @@
     def _start(self, node, size, sent_at):
         outcome = self.outcomes()
         due = self.step + outcome.steps
-        pending = PendingRequest(
+        pending = AdmittedRequest(
             due,
             next(self._order),
             node,
