--- a/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/crashes/crash_signs.py
@@ -1,88 +1,96 @@
-"""Tell from the platform's list whether upstreams that are doubted have ended.
+"""Settle suspected crashes of upstreams by the platform's list of upstreams.
 
-An entry of the list outlives its upstream by some heartbeats. So one that is
-still there after these was written by an upstream that lives; one that went,
-or whose address another lifetime has, is the sign of an end.
+The platform keeps a row for a few heartbeats after its upstream ended. A row
+that is still listed after that time proves that its upstream is alive. A row
+that was removed, or whose address now belongs to another lifetime, proves
+that its upstream has ended.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from spanfall_core.gateway.crashes.crashes import Doubt
+from spanfall_core.gateway.crashes.crashes import SuspectedCrash
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.lifetimes import Lifetime
 
-#: Heartbeats without which the platform removes an entry.
+#: Missed heartbeats after which the platform removes a row.
 MISSED_HEARTBEATS = 3
-#: Seconds besides until a node knows: a read of the store every 0.6 s, one
-#: that is late, and the home's next table.
-LISTING_SECONDS = 2.0
-#: Seconds after which a doubt ends though no listing was to be had.
-LONGEST_DOUBT = 60.0
+#: Additional seconds until every node has the new list: the store is read
+#: every 0.6 s, one read may be late, and the home then sends its next table.
+LISTING_DELAY_SECONDS = 2.0
+#: Seconds after which a suspected crash is dismissed when no list arrives.
+MAX_SUSPECTED_SECONDS = 60.0
 
 
-def listed_seconds(heartbeat: float) -> float:
-    """Return the seconds after which the entry of an upstream is gone."""
-    return MISSED_HEARTBEATS * heartbeat + LISTING_SECONDS
+def max_listing_delay(heartbeat: float) -> float:
+    """Return the seconds until the row of an ended upstream is removed."""
+    return MISSED_HEARTBEATS * heartbeat + LISTING_DELAY_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
-    """Hold which of the upstreams that were doubted ended, and which live."""
+class SettledCrashes:
+    """Hold which suspected upstreams have ended and which are alive."""
 
     ended: tuple[Lifetime, ...] = ()
-    living: tuple[Lifetime, ...] = ()
+    alive: tuple[Lifetime, ...] = ()
 
 
 def settle(
-    doubts: Mapping[Lifetime, Doubt],
+    suspected_crashes: Mapping[Lifetime, SuspectedCrash],
     directory: Directory,
     heartbeat: float,
     now: float,
-) -> Settled:
-    """Return what the list tells of upstreams that are doubted.
+) -> SettledCrashes:
+    """Decide by the list which suspected upstreams have ended or are alive.
 
-    ``heartbeat`` are the seconds after which each writes its entry again.
+    ``heartbeat`` is the interval, in seconds, at which an upstream renews its
+    row.
     """
     ended = [
         lifetime
-        for lifetime, doubt in doubts.items()
-        if _has_ended(lifetime, doubt, directory)
+        for lifetime, suspected in suspected_crashes.items()
+        if _has_ended(lifetime, suspected, directory)
     ]
-    patience = listed_seconds(heartbeat)
-    living = [
+    listing_delay = max_listing_delay(heartbeat)
+    alive = [
         lifetime
-        for lifetime in doubts.keys() - set(ended)
-        if _lives(lifetime, doubts[lifetime], directory, patience, now)
+        for lifetime in suspected_crashes.keys() - set(ended)
+        if _is_alive(
+            lifetime, suspected_crashes[lifetime], directory, listing_delay, now
+        )
     ]
-    return Settled(tuple(ended), tuple(living))
+    return SettledCrashes(tuple(ended), tuple(alive))
 
 
 def _has_ended(
     lifetime: Lifetime,
-    doubt: Doubt,
+    suspected: SuspectedCrash,
     directory: Directory,
 ) -> bool:
-    """Tell whether an entry went, or another lifetime has its address.
+    """Return whether a row was removed or its address was taken over.
 
-    A list that is older than the doubt may not hold the entry yet.
+    A missing row proves nothing if the list is older than the suspicion: the
+    row may not have been written by then.
     """
     row = directory.rows.get(lifetime)
     if row is None:
-        return directory.proved_at > doubt.since
+        return directory.confirmed_at > suspected.since
     return directory.is_replaced(row)
 
 
-def _lives(
+def _is_alive(
     lifetime: Lifetime,
-    doubt: Doubt,
+    suspected: SuspectedCrash,
     directory: Directory,
-    patience: float,
+    listing_delay: float,
     now: float,
 ) -> bool:
-    """Tell whether an entry outlived a doubt, or began to leave in it."""
+    """Return whether an upstream is alive, or was suspected for too long.
+
+    A row proves this if it began to leave or outlasted the listing delay.
+    """
     row = directory.rows.get(lifetime)
-    is_listed = directory.proved_at - doubt.since >= patience
+    is_listed = directory.confirmed_at - suspected.since >= listing_delay
     if row is not None and (row.is_leaving or is_listed and row.is_serving):
         return True
-    return now - doubt.since >= LONGEST_DOUBT
+    return now - suspected.since >= MAX_SUSPECTED_SECONDS
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/entry_account.py
@@ -4,9 +4,9 @@
 
 from spanfall_core.gateway.known.limits import Limit, Limits
 from spanfall_core.gateway.known.spending import (
-    SLOT_SECONDS,
-    Pieces,
+    BUCKET_SECONDS,
     Spending,
+    TimedUnits,
     Units,
 )
 from spanfall_core.gateway.known.unit_reports import EntrySpending
@@ -15,7 +15,7 @@
 #: which is a whole number of seconds computed from time buckets. Dating them
 #: back by this much keeps them from cancelling more than their spending, which
 #: was reported to the home later.
-AGE_ERROR_SECONDS = 1 + 2 * SLOT_SECONDS
+AGE_ERROR_SECONDS = 1 + 2 * BUCKET_SECONDS
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     given_beyond: Units = field(default_factory=dict)
     own_spending: dict[str, Spending] = field(default_factory=dict)
     #: Units returned to the entry, as last reported, by time of spending.
-    returned: dict[str, Pieces] = field(default_factory=dict)
+    returned: dict[str, TimedUnits] = field(default_factory=dict)
     #: Spending in the window when the entry became silent; None: not silent.
     recent_at_silence: Units | None = None
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/fleet_spending.py
@@ -6,8 +6,8 @@
 from spanfall_core.gateway.known.limits import Limit, Limits
 from spanfall_core.gateway.known.spending import (
     ByAge,
-    Pieces,
     Spending,
+    TimedUnits,
     sum_ages,
 )
 
@@ -75,7 +75,7 @@
         """Add what an entry spent before its first report."""
         self._spending_of(workspace).recall(by_age, now)
 
-    def count_returned(self, rows: Mapping[str, Pieces], sign: int) -> None:
+    def count_returned(self, rows: Mapping[str, TimedUnits], sign: int) -> None:
         """Add returned units, or subtract them if the sign is -1."""
         for workspace, pieces in rows.items():
             total = self._returned.setdefault(workspace, Spending())
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
@@ -17,7 +17,10 @@
 
 from spanfall_core.gateway.known.limits import Limit, Limits
 from spanfall_core.gateway.known.spending import ByAge, Spending, Units
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 
 #: Part of its share of a limit that an entry may spend after its start before
 #: it reaches the home: enough for the first requests of each workspace.
@@ -118,7 +121,7 @@
         left the window, so that as many units could run twice.
         """
         own = self._own.get(workspace)
-        if own is None or not own.holds(
+        if own is None or not own.is_in_window(
             spent_at,
             limit.window,
             now,
@@ -186,7 +189,7 @@
 
     def apply_given(
         self,
-        given: GivenUnits,
+        given: AllocatedUnits,
         reported: EntrySpending,
         limits: Limits,
         now: float,
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
@@ -9,11 +9,14 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from spanfall_core.gateway.known.fleet import FORGET_SECONDS
+from spanfall_core.gateway.known.fleet import ENTRY_RETENTION_SECONDS
 from spanfall_core.gateway.known.limits import Limit, Limits, Tolerance
 from spanfall_core.gateway.known.reporting import SILENT_SECONDS
 from spanfall_core.gateway.known.spending import ByAge, Spending, Units
-from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
+from spanfall_core.gateway.known.unit_reports import (
+    AllocatedUnits,
+    EntrySpending,
+)
 from spanfall_core.gateway.limits.entry_account import EntryAccount
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
 from spanfall_core.gateway.limits.taken_over import PredecessorEstimate
@@ -114,7 +117,7 @@
         entry: str,
         limits: Limits,
         now: float,
-    ) -> GivenUnits | None:
+    ) -> AllocatedUnits | None:
         """Allocate what an entry may spend until its next allocation.
 
         It is an equal share of the units that the pool and the entry hold,
@@ -133,7 +136,7 @@
             account.record_allocation(workspace, part, usage.free_beyond(live))
             levels[workspace] = usage.level
         self._count_held(account, 1)
-        return GivenUnits(
+        return AllocatedUnits(
             dict(account.given),
             dict(account.given_beyond),
             levels,
@@ -158,7 +161,7 @@
         if limit is None or account is None or not live:
             return 0
         pool = self.usage(workspace, limit, now).pool
-        overdraft = self.tolerance.beyond(limit) * OVERDRAFT_PART
+        overdraft = self.tolerance.extra_units(limit) * OVERDRAFT_PART
         if pool <= 0 or pool - units < -overdraft:
             return 0
         lent = units + max(0, pool - units) / (live + 1)
@@ -175,7 +178,7 @@
             self._held[workspace],
             self._beyond[workspace],
             self._silent_units(workspace, limit, now),
-            self.tolerance.beyond(limit) * COVERED_PART,
+            self.tolerance.extra_units(limit) * COVERED_PART,
         )
 
     def spending_to_record(
@@ -238,7 +241,7 @@
             key
             for key, account in self._entries.items()
             if account.node == node
-            or now - account.last_report_at > FORGET_SECONDS
+            or now - account.last_report_at > ENTRY_RETENTION_SECONDS
         ]
         for key in dead:
             account = self._entries.pop(key)
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/taken_over.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from spanfall_core.gateway.known.fleet import FORGET_SECONDS
+from spanfall_core.gateway.known.fleet import ENTRY_RETENTION_SECONDS
 from spanfall_core.gateway.known.limits import Limit
 from spanfall_core.gateway.known.spending import Units
 from spanfall_core.gateway.known.unit_reports import EntrySpending
@@ -52,7 +52,7 @@
         Missing entries may be alive, so each counts as holding an equal share.
         """
         elapsed = now - self.started_at
-        if not self.entries or elapsed > FORGET_SECONDS:
+        if not self.entries or elapsed > ENTRY_RETENTION_SECONDS:
             return 0
         part = max(0, self.entries - reported) / self.entries
         if elapsed >= limit.window:
--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/sends.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/sends.py
@@ -1,7 +1,7 @@
-"""Classify the end of a send and decide what follows.
+"""Classify the outcome of a failed send and decide the next step.
 
-This is the one table of failure points: what an end says about whether the
-request ran, and so which answers are true.
+This is the only place that maps points of failure to whether the request may
+have run, and thus to the answers that are correct.
 """
 
 from collections.abc import Callable
@@ -13,26 +13,26 @@
 
 
 @unique
-class SendEnd(StrEnum):
-    """Name how one send to an upstream ended before any answer part."""
+class SendOutcome(StrEnum):
+    """Name the outcome of a send that failed before any part of an answer."""
 
     #: No connection, so nothing was sent.
     NOT_SENT = 'not-sent'
-    #: The upstream says that it did not run the request.
+    #: The upstream answered that it did not run the request.
     REFUSED = 'refused'
-    #: Another lifetime has the address; nothing ran.
+    #: Another lifetime answers at the address; the request did not run.
     OTHER_LIFETIME = 'other-lifetime'
-    #: A whole answer of the upstream with a status of 500 or more.
+    #: A complete answer of the upstream with a status of 500 or more.
     FAILED = 'failed'
-    #: Reset, close, silence or bytes that are no answer, after the send.
+    #: A reset, a close, no data or an invalid answer, after the send.
     BROKEN = 'broken'
-    #: No answer inside the time that was left.
+    #: No answer before the deadline.
     TIMED_OUT = 'timed-out'
 
 
 @unique
 class NextStep(StrEnum):
-    """Name what the entry does after a failed send."""
+    """Name the action of the entry after a failed send."""
 
     SEND_AGAIN = 'send-again'
     ANSWER_NOT_RUN = 'answer-not-run'
@@ -40,62 +40,63 @@
     RELAY = 'relay'
 
 
-#: Ends after which the request has certainly not run.
-NOT_RUN_ENDS = frozenset(
-    (SendEnd.NOT_SENT, SendEnd.REFUSED, SendEnd.OTHER_LIFETIME),
+#: Outcomes that prove that the request did not run.
+NOT_RUN_OUTCOMES = frozenset(
+    (SendOutcome.NOT_SENT, SendOutcome.REFUSED, SendOutcome.OTHER_LIFETIME),
 )
 
 RETRY_REASONS = {
-    SendEnd.NOT_SENT: RetryReason.CONNECT_FAILED,
-    SendEnd.REFUSED: RetryReason.UPSTREAM_REFUSED,
-    SendEnd.OTHER_LIFETIME: RetryReason.UPSTREAM_REFUSED,
-    SendEnd.FAILED: RetryReason.UPSTREAM_ERROR,
-    SendEnd.BROKEN: RetryReason.STREAM_BROKEN,
-    SendEnd.TIMED_OUT: RetryReason.UPSTREAM_TIMEOUT,
+    SendOutcome.NOT_SENT: RetryReason.CONNECT_FAILED,
+    SendOutcome.REFUSED: RetryReason.UPSTREAM_REFUSED,
+    SendOutcome.OTHER_LIFETIME: RetryReason.UPSTREAM_REFUSED,
+    SendOutcome.FAILED: RetryReason.UPSTREAM_ERROR,
+    SendOutcome.BROKEN: RetryReason.STREAM_BROKEN,
+    SendOutcome.TIMED_OUT: RetryReason.UPSTREAM_TIMEOUT,
 }
 
-#: Most sends of one request, whatever their ends.
-MOST_SENDS = 4
+#: Maximum number of sends of one request, whatever their outcomes.
+MAX_SENDS = 4
 
 
 @dataclass(slots=True)
 class SendState:
-    """Hold what the sends of one request have proved so far."""
+    """Track the sends of one request and what their outcomes prove."""
 
     sends: int = 0
-    #: Upstreams that may have run the request.
+    #: Number of upstreams that may have run the request.
     may_have_run: int = 0
 
     @property
     def proven_not_run(self) -> bool:
-        """Tell whether no upstream can have run the request."""
+        """Return whether no upstream can have run the request."""
         return not self.may_have_run
 
 
 def next_step(
-    end: SendEnd,
+    outcome: SendOutcome,
     route: Route,
     state: SendState,
     take_retry: Callable[[], bool],
 ) -> NextStep:
-    """Decide what follows the end of a send.
+    """Decide the next step after a failed send.
 
-    ``take_retry`` takes a retry from the budget if there is one and another
-    upstream is left; it is asked only where another send is allowed.
+    ``take_retry`` takes a retry from the budget and returns whether there was
+    one and another upstream is left. It is called only if the route allows
+    another send.
     """
-    if end not in NOT_RUN_ENDS:
+    if outcome not in NOT_RUN_OUTCOMES:
         state.may_have_run += 1
-    if _may_send(route, state) and take_retry():
+    if _may_retry(route, state) and take_retry():
         return NextStep.SEND_AGAIN
     if state.proven_not_run:
         return NextStep.ANSWER_NOT_RUN
-    if end is SendEnd.FAILED:
+    if outcome is SendOutcome.FAILED:
         return NextStep.RELAY
     return NextStep.ANSWER_UNKNOWN
 
 
-def _may_send(route: Route, state: SendState) -> bool:
-    if state.sends >= MOST_SENDS:
+def _may_retry(route: Route, state: SendState) -> bool:
+    if state.sends >= MAX_SENDS:
         return False
     if state.proven_not_run:
         return True
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -28,8 +28,8 @@
 #: Limit of a small workspace of the deployments.
 SMALL_LIMIT = Limit(rate=36_000, burst=126_420, window=WINDOW)
 #: Tolerance of the platform beyond a limit.
-TOLERANCE = Tolerance(part=0.1, units=140_000)
-MAX_UNITS = LIMIT.total * (1 + TOLERANCE.part) + TOLERANCE.units
+TOLERANCE = Tolerance(fraction=0.1, units=140_000)
+MAX_UNITS = LIMIT.total * (1 + TOLERANCE.fraction) + TOLERANCE.units
 
 REPORT_STEPS = 5
 #: Steps until an entry detects that its link is dead, as ANSWER_SECONDS.
@@ -287,4 +287,4 @@
         since = end - 2 * WINDOW - APPLY_STEPS * STEP
         limits = [row for until, row in self.earlier_limits if until >= since]
         total = max(limit.total for limit in (self.limit, *limits))
-        return total * (1 + TOLERANCE.part) + TOLERANCE.units
+        return total * (1 + TOLERANCE.fraction) + TOLERANCE.units
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -1,4 +1,4 @@
-"""Keep long prompts away from short ones."""
+"""Route long prompts to other upstreams than short ones."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,7 +6,7 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.sizes import PromptSizes
 
 SHORT = 800
@@ -18,48 +18,50 @@
 
 
 def seen_sizes():
-    """Return sizes after short and long prompts of the same work."""
+    """Return sizes after short and long prompts of equal total work."""
     sizes = PromptSizes()
     for _ in range(100):
-        sizes.learn(LONG, 0)
+        sizes.record_prompt(LONG, 0)
     for _ in range(100 * 60):
-        sizes.learn(SHORT, 0)
+        sizes.record_prompt(SHORT, 0)
     return sizes
 
 
 @given(st.lists(st.integers(1, 200_000), max_size=50), st.integers(1, 100))
-def test_places_grow_with_length(lengths, seconds):
+def test_positions_grow_with_length(lengths, seconds):
     sizes = PromptSizes()
     for number, length in enumerate(lengths):
-        sizes.learn(length, number * seconds)
-    places = [sizes.place(tokens) for tokens in (0, 500, 5000, 50_000, 10**6)]
-    assert places == sorted(places)
-    assert places[0] > 0
-    assert places[-1] < 1
+        sizes.record_prompt(length, number * seconds)
+    positions = [
+        sizes.position(tokens) for tokens in (0, 500, 5000, 50_000, 10**6)
+    ]
+    assert positions == sorted(positions)
+    assert positions[0] > 0
+    assert positions[-1] < 1
 
 
 def test_each_length_gets_engines_by_its_work():
     sizes = seen_sizes()
-    assert 0.2 < sizes.place(SHORT) < 0.35
-    assert 0.65 < sizes.place(LONG) < 0.8
+    assert 0.2 < sizes.position(SHORT) < 0.35
+    assert 0.65 < sizes.position(LONG) < 0.8
 
 
-def test_lengths_are_forgotten():
+def test_old_lengths_lose_weight():
     sizes = seen_sizes()
-    before = sizes.place(SHORT)
+    before = sizes.position(SHORT)
     for now in range(1, 100):
-        sizes.learn(SHORT, now)
-    assert sizes.place(SHORT) > before
+        sizes.record_prompt(SHORT, now)
+    assert sizes.position(SHORT) > before
 
 
 def test_short_prompts_keep_away_from_long_ones():
-    """Idle upstreams: only the length decides."""
+    """Among idle upstreams, only the length decides."""
     prompts = PromptHistory(sizes=seen_sizes())
     chosen = {
         tokens: {
             choose(
                 UPSTREAMS,
-                Ask(f'a{number}', 'north', prompt_tokens=tokens),
+                RoutingRequest(f'a{number}', 'north', prompt_tokens=tokens),
                 Loads(),
                 prompts,
                 0,
