--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -9,9 +9,9 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.prefixes import PromptPart
 from spanfall_core.gateway.known.unit_reports import EntrySpending
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import (
     EntryLoad,
     FleetLoads,
@@ -83,17 +83,17 @@
         f'workspace-{place}': Limit(100_000, 100_000, 8)
         for place in range(WORKSPACES)
     }
-    shared = SharedLevels()
+    shared = QuotaAllocator()
     spent = dict.fromkeys(limits, 0.0)
     for number in range(nodes):
-        shared.learn(f'n-{number}/0', EntrySpending(spent), limits, 0)
+        shared.apply_report(f'n-{number}/0', EntrySpending(spent), limits, 0)
     clock = count(0, 0.25 / nodes)
     began = time.process_time()
     for again in range(nodes):
         now = next(clock)
         spending = EntrySpending(dict.fromkeys(limits, 10.0 + again))
-        shared.learn(f'n-{again}/0', spending, limits, now)
-        shared.give(f'n-{again}/0', limits, now)
+        shared.apply_report(f'n-{again}/0', spending, limits, now)
+        shared.allocate(f'n-{again}/0', limits, now)
     return (time.process_time() - began) / nodes * MICROSECONDS
 
 
@@ -111,7 +111,7 @@
     loads, prompts = Loads(), PromptHistory()
     began = time.process_time()
     for number in range(REPEATS):
-        ask = Ask(f'a-{number}', 'north', PARTS, 6000)
+        ask = RoutingRequest(f'a-{number}', 'north', PARTS, 6000)
         choose(rows, ask, loads, prompts, 0)
     return (time.process_time() - began) / REPEATS * MICROSECONDS
 
@@ -119,7 +119,7 @@
 def time_grant(upstreams: int) -> float:
     """Return the processor microseconds of the home for one grant."""
     rows = make_rows(upstreams)
-    request = GrantRequest('llm', Ask('a', 'north', PARTS, 6000))
+    request = GrantRequest('llm', RoutingRequest('a', 'north', PARTS, 6000))
     load = EntryLoad({'i-0': 1, 'i-1': 1}, {'i-0': 6000}, seen=0)
     received = encode(GrantRequestMessage('edge-1/0123', 1, request, load))
     book, prompts = GrantBook(), PromptHistory()
@@ -127,7 +127,7 @@
     began = time.process_time()
     for number in range(1, REPEATS + 1):
         asked = decode_from_entry(received)
-        book.learn(asked.entry, asked.load, 0)
+        book.apply_report(asked.entry, asked.load, 0)
         choice = choose(rows, asked.request.ask, loads, prompts, 0)
         grant = Grant(number, choice.upstream.upstream_id, choice.prefill)
         book.grant(asked.entry, grant)
--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/capacity_duty.py
@@ -9,16 +9,16 @@
 from spanfall_core.gateway.orders.capacity import plan_orders
 from spanfall_core.gateway.orders.demand import (
     OfferedLoad,
-    lost_to_limits,
+    capacity_lost_to_limits,
     needed_upstreams,
-    take_over,
+    restore_demand,
 )
 from spanfall_core.gateway.orders.orders import (
     Order,
     ServiceOrders,
-    count_present,
-    note_accepted,
-    note_refused,
+    count_serving,
+    record_accepted,
+    record_refused,
 )
 
 from spanfall_node.gateway.duties.duties import CloudClient
@@ -92,7 +92,7 @@
             return
         now = state.timers.now()
         self._prefill_rates.update(state.fleet.read_work(), now)
-        self._request_rates.update(dict(state.grant_book.asked), now)
+        self._request_rates.update(dict(state.grant_book.first_attempts), now)
         for service in state.configuration.services.values():
             if service.scaling is not None and service.engine is not None:
                 await self._plan_service(service, now)
@@ -111,9 +111,9 @@
         ]
         self._update_demand(service, orders, now)
         state.needs[service.name] = orders.demand.peak
-        present = count_present(rows)
+        present = count_serving(rows)
         grown_at = state.directory.last_added_at(service.name)
-        orders.demand.find(present.total(), grown_at, now)
+        orders.demand.record_initial_count(present.total(), grown_at, now)
         settle = SETTLE_SECONDS
         if state.tenure.is_first:
             settle = FIRST_SETTLE_SECONDS
@@ -134,7 +134,7 @@
         """Return a service's orders, starting from the last home's demand."""
         service_orders = self._orders.get(service)
         if service_orders is None:
-            demand = take_over(self._state.needs.get(service, 0), now)
+            demand = restore_demand(self._state.needs.get(service, 0), now)
             service_orders = ServiceOrders(demand)
             self._orders[service] = service_orders
         return service_orders
@@ -161,12 +161,12 @@
         speed = state.prompts.speed(service.name)
         needed = needed_upstreams(service.engine, load, speed, len(lifetimes))
         limits = state.words.table.rates
-        orders.lost = lost_to_limits(
+        orders.capacity_lost = capacity_lost_to_limits(
             (limits[lifetime] for lifetime in lifetimes if lifetime in limits),
             needed,
             self._request_rates.rates.get(service.name, 0),
         )
-        orders.demand.learn(needed, now)
+        orders.demand.record_need(needed, now)
 
     async def _send(self, order: Order, orders: ServiceOrders) -> None:
         state = self._state
@@ -181,15 +181,15 @@
         status = await self._cloud.call('order', call)
         now = state.timers.now()
         if status == 200:
-            note_accepted(order, orders, now)
+            record_accepted(order, orders, now)
         elif status == 409:
-            note_refused(order, orders, now)
+            record_refused(order, orders, now)
         logger.info(
             'Ordered %s, status %s; peak demand %.1f, initially %s upstreams, '
             'prefill speed %s',
             order,
             status,
             orders.demand.peak,
-            orders.demand.found,
+            orders.demand.initial_count,
             state.prompts.speeds.get(order.service),
         )
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -131,7 +131,7 @@
                 self._state.follow_home(message.home, now)
             case LoadMessage():
                 book = self._state.grant_book
-                book.learn(message.entry, message.load, now)
+                book.apply_report(message.entry, message.load, now)
             case WatchedRun():
                 self._state.crashes.note_run(message, now)
             case StatementsReport():
@@ -173,7 +173,7 @@
 
     def _grant(self, message: GrantRequestMessage, now: float) -> GrantMessage:
         state = self._state
-        state.grant_book.learn(message.entry, message.load, now)
+        state.grant_book.apply_report(message.entry, message.load, now)
         return decide(state, message.entry, message.number, message.request)
 
     def _units(self, message: UnitsRequest, now: float) -> UnitsMessage:
@@ -192,9 +192,9 @@
         state.learn_report(state.own_report(), now)
         load = EntryLoad(report.running, report.prefill, message.seen)
         period = state.fleet.period(now)
-        state.grant_book.learn(report.key, load, now)
-        state.grant_book.expect(report.key, load_expires_after(period))
-        state.grant_book.forget_silent(now)
+        state.grant_book.apply_report(report.key, load, now)
+        state.grant_book.set_load_expiry(report.key, load_expires_after(period))
+        state.grant_book.drop_silent_entries(now)
         totals = None
         if message.wants_totals:
             totals = state.fleet.totals_except(report.key, now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/links/messages.py
@@ -12,7 +12,7 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.reporting import REPORT_PERIOD
 from spanfall_core.gateway.known.unit_reports import AllocatedUnits
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import EntryLoad, Grant
 
 from spanfall_node.gateway.links.crash_messages import (
@@ -75,7 +75,7 @@
     """Describe a request that needs an upstream."""
 
     service: str
-    ask: Ask
+    ask: RoutingRequest
 
 
 class GrantRequestMessage(msgspec.Struct, frozen=True, tag='ask'):
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -1,4 +1,4 @@
-"""Grants of the home: exact counts, and entries that decide alone."""
+"""Grant upstreams at the home, and at entries that have no home."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.reporting import LOAD_EXPIRY_SECONDS
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import (
     EntryLoad,
     FleetLoads,
@@ -30,10 +30,10 @@
 
 
 def grant_one(book, entry, number):
-    """Let the home choose for one request of an entry."""
+    """Choose and grant an upstream for one request of an entry."""
     choice = choose(
         UPSTREAMS,
-        Ask(f'a{entry}{number}', 'north', prompt_tokens=9000),
+        RoutingRequest(f'a{entry}{number}', 'north', prompt_tokens=9000),
         FleetLoads(book, Loads()),
         PromptHistory(),
         0,
@@ -43,35 +43,35 @@
     return upstream_id
 
 
-def test_requests_of_one_moment_are_spread():
-    """No entry has told of its own yet when the others ask."""
+def test_simultaneous_requests_are_spread():
+    """Grants count at once, before any entry has reported its load."""
     book = GrantBook()
-    chosen = Counter(grant_one(book, str(place), 1) for place in range(8))
+    chosen = Counter(grant_one(book, str(number), 1) for number in range(8))
     assert set(chosen.values()) == {2}
 
 
-def test_a_grant_in_the_counts_counts_once():
+def test_reported_grant_counts_once():
     book = GrantBook()
     book.grant('e', Grant(1, 'u-0', 100))
     book.grant('e', Grant(2, 'u-1', 200))
-    book.learn('e', EntryLoad({'u-0': 1}, {'u-0': 100}, seen=1), 0)
+    book.apply_report('e', EntryLoad({'u-0': 1}, {'u-0': 100}, seen=1), 0)
     assert book.running == {'u-0': 1, 'u-1': 1}
     assert book.prefill == {'u-0': 100, 'u-1': 200}
 
 
-def test_a_grant_that_was_not_used_stops_to_count():
+def test_unused_grant_stops_counting():
     book = GrantBook()
     book.grant('e', Grant(1, 'u-0', 100))
-    book.learn('e', EntryLoad({}, {}, seen=1), 0)
+    book.apply_report('e', EntryLoad({}, {}, seen=1), 0)
     assert not book.running
     assert not book.prefill
 
 
-def test_a_silent_entry_is_forgotten():
+def test_silent_entry_is_dropped():
     book = GrantBook()
-    book.learn('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
+    book.apply_report('e', EntryLoad({'u-0': 3}, {'u-0': 9}, seen=0), 0)
     book.grant('e', Grant(1, 'u-1', 5))
-    book.forget_silent(LOAD_EXPIRY_SECONDS + 1)
+    book.drop_silent_entries(LOAD_EXPIRY_SECONDS + 1)
     assert not book.running
     assert not book.prefill
 
@@ -84,7 +84,7 @@
 
 
 @given(STEPS)
-def test_sums_are_counts_and_later_grants(steps):
+def test_sums_are_reports_plus_later_grants(steps):
     book = GrantBook()
     numbers = Counter()
     loads = {}
@@ -92,7 +92,7 @@
     for entry, is_report, running, prefill in steps:
         if is_report:
             load = EntryLoad(running, prefill, numbers[entry])
-            book.learn(entry, load, 0)
+            book.apply_report(entry, load, 0)
             loads[entry] = load
             pending[entry].clear()
         else:
@@ -106,15 +106,15 @@
 
 
 @in_world
-async def test_entries_share_what_the_home_knows(world):
-    """Two entries that ask at once do not take the same upstream."""
+async def test_entries_share_the_counts_of_the_home(world):
+    """Simultaneous requests of two entries get different upstreams."""
     home, other = await two_gateways(world)
     for _ in range(2):
         await world.add_upstream(whole())
     await wait_until(lambda: len(home.directory.rows) == 2)
     await wait_until(lambda: len(other.directory.rows) == 2)
     grants = Grants(home)
-    asked = Ask('a1', 'north')
+    asked = RoutingRequest('a1', 'north')
     first = await grants.choose(SERVICE, asked)
     home.loads.begin(first.upstream.upstream_id, 0)
     second = await grants.choose(SERVICE, asked)
@@ -126,8 +126,8 @@
 
 
 @in_world
-async def test_an_entry_decides_alone_without_a_home(world):
-    """The wait is bounded, and the next requests do not wait at all."""
+async def test_entry_chooses_locally_without_home(world):
+    """The first request waits a bounded time; the next ones do not wait."""
     await world.add_upstream(whole())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
@@ -140,17 +140,19 @@
     grants = Grants(state)
     grants.connect(never_answered)
     for number in range(3):
-        choice = await grants.choose(SERVICE, Ask(f'a{number}', 'north'))
+        choice = await grants.choose(
+            SERVICE, RoutingRequest(f'a{number}', 'north')
+        )
         assert choice is not None
     assert asked == [1]
     assert grants.load().seen == 1
     await anyio.sleep(ALONE_SECONDS)
-    assert await grants.choose(SERVICE, Ask('a4', 'north'))
+    assert await grants.choose(SERVICE, RoutingRequest('a4', 'north'))
     assert asked == [1, 2]
 
 
 @in_world
-async def test_a_grant_of_what_is_gone_is_not_used(world):
+async def test_grant_of_removed_upstream_is_not_used(world):
     await world.add_upstream(whole())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
@@ -162,5 +164,5 @@
         grants.learn(GrantMessage(number, Grant(number, 'gone', 0)))
 
     grants.connect(grant_gone)
-    choice = await grants.choose(SERVICE, Ask('a1', 'north'))
+    choice = await grants.choose(SERVICE, RoutingRequest('a1', 'north'))
     assert choice.upstream.upstream_id in state.directory.rows
