--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -111,7 +111,7 @@
             self.trials.end(run.identity, now + TRIAL_SETTLE_SECONDS)
             return
         self.trials.end(run.identity, now)
-        if run.stage is RunStage.WHOLE:
+        if run.stage is RunStage.COMPLETE:
             self.table.clear(run.identity)
 
     def apply_report(self, report: CrashReport, now: float) -> None:
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -25,7 +25,7 @@
 from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.known.usage import UsageCounts
 from spanfall_core.gateway.limits.quotas import Quotas
-from spanfall_core.gateway.limits.shared_levels import SharedLevels
+from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 from spanfall_core.gateway.routing.balance import PromptHistory
 from spanfall_core.gateway.routing.grants import EntryLoad, GrantBook
 from spanfall_core.gateway.routing.retry_budget import RetryBudget
@@ -71,7 +71,7 @@
     fleet: FleetState = field(default_factory=FleetState)
     crashes: CrashState = field(default_factory=CrashState)
     effective_limits: EffectiveLimits = field(default_factory=EffectiveLimits)
-    shared_levels: SharedLevels = field(default_factory=SharedLevels)
+    shared_levels: QuotaAllocator = field(default_factory=QuotaAllocator)
     #: On the home: running requests of the whole fleet.
     grant_book: GrantBook = field(default_factory=GrantBook)
     home: HomeRecord | None = None
@@ -167,7 +167,7 @@
     def apply_report(self, report: EntryReport, now: float) -> None:
         """Apply the report of an entry, as the home."""
         self.fleet.apply_report(report, now)
-        self.shared_levels.learn(
+        self.shared_levels.apply_report(
             report.key,
             report.spending,
             self.limits_at(now),
@@ -177,7 +177,7 @@
 
     def own_report(self) -> EntryReport:
         """Return the report of this node to itself as the home."""
-        is_known = self.shared_levels.knows(self.entry_key)
+        is_known = self.shared_levels.has_reported(self.entry_key)
         return self.report(to_new_home=not is_known)
 
     def allocate_units(self, entry: str, now: float) -> AllocatedUnits | None:
@@ -188,7 +188,7 @@
         """
         if not can_allocate(self.tenure, now):
             return None
-        return self.shared_levels.give(entry, self.limits_at(now), now)
+        return self.shared_levels.allocate(entry, self.limits_at(now), now)
 
     def lend_units(
         self,
@@ -212,9 +212,9 @@
         """Apply the units that the home has allocated after a report."""
         limits = self.limits_at(now)
         if given is None:
-            self.quotas.go_alone(limits, now)
+            self.quotas.enter_standalone(limits, now)
             return
-        self.quotas.learn_given(given, report.spending, limits, now)
+        self.quotas.apply_given(given, report.spending, limits, now)
 
     def follow_home(self, home: HomeRecord, now: float) -> None:
         """Follow another node as the home unless its epoch is not newer."""
@@ -249,12 +249,12 @@
         """Continue without a home, which reported the other entries' load."""
         self.update_home(None)
         now = self.timers.now()
-        self.quotas.go_alone(self.limits_at(now), now)
+        self.quotas.enter_standalone(self.limits_at(now), now)
         self.loads.reset_others()
 
     def spending_to_record(self, now: float) -> dict[str, list[float]]:
         """Return the spending of workspaces with high usage, to be recorded."""
-        return self.shared_levels.pressed(self.limits_at(now), now)
+        return self.shared_levels.spending_to_record(self.limits_at(now), now)
 
     def limits_at(self, now: float) -> dict[str, Limit]:
         """Return the limits of workspaces that apply now."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/upstream_words.py
@@ -88,13 +88,13 @@
         """Reset the permits at the start of a tenure as home."""
         self.permits = Permits()
         for lifetime, rate in self.table.rates.items():
-            self.permits.follow(lifetime, rate, now)
+            self.permits.set_rate(lifetime, rate, now)
 
     def forget(self, lifetime: Lifetime, now: float) -> None:
         """Drop the statements of an upstream that has ended."""
         self.table.forget(lifetime)
         self.unreported.pop(lifetime, None)
-        self.permits.follow(lifetime, None, now)
+        self.permits.set_rate(lifetime, None, now)
 
     def _update_permit_rate(self, lifetime: Lifetime, now: float) -> None:
-        self.permits.follow(lifetime, self.table.rates.get(lifetime), now)
+        self.permits.set_rate(lifetime, self.table.rates.get(lifetime), now)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -84,7 +84,7 @@
         """
         sign = await self._look(upstream)
         if sign is ProbeResult.ALIVE:
-            await self.note_run(identity, RunStage.OVER)
+            await self.note_run(identity, RunStage.INCOMPLETE)
             return
         await self._note(identity, upstream, sign)
 
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -1,4 +1,4 @@
-"""Ask the home for units that a request lacks at an entry."""
+"""Check requests to the home for units that an entry lacks."""
 
 from http import HTTPStatus
 from types import SimpleNamespace
@@ -29,20 +29,20 @@
 from support import run_async, wait_until
 
 LIMITS = {'w': Limit(rate=1, burst=100, window=8)}
-#: Seconds in which the limit of the gateways here holds.
+#: Seconds of the quota window of the gateways here.
 WINDOW = 1.5
-#: Requests that the limit of the gateways here allows in a window.
-MOST = 5
-TRIES = 15
+#: Requests that the limit of the gateways here allows in one window.
+MAX_REQUESTS = 5
+ATTEMPTS = 15
 RATE = 0.01
 KEY = {'authorization': 'Key k'}
 
 
 def entry_that_holds(units):
-    """Return the state of an entry to which a home gave so many units."""
+    """Return the state of an entry to which a home allocated units."""
     quotas = Quotas()
     given = AllocatedUnits({'w': units}, {}, {'w': 100})
-    quotas.learn_given(given, EntrySpending(), LIMITS, 0)
+    quotas.apply_given(given, EntrySpending(), LIMITS, 0)
     return SimpleNamespace(
         quotas=quotas,
         tenure=None,
@@ -54,7 +54,7 @@
 
 
 def obtain(answers, units=50, state=None):
-    """Ask for units; the home answers with the units given, if it does."""
+    """Request units; the home sends the given answers, if any."""
     state = state or entry_that_holds(10)
     requests = UnitRequests(state)
     asked = []
@@ -71,7 +71,7 @@
 
     outcome = []
     run_async(main)
-    return outcome[0], asked, state.quotas.left('w', LIMITS['w'], 0)
+    return outcome[0], asked, state.quotas.available('w', LIMITS['w'], 0)
 
 
 @pytest.mark.parametrize(
@@ -82,18 +82,18 @@
         ([], (False, [40], 10)),
     ],
 )
-def test_what_a_request_lacks_is_asked_for(answers, expected):
+def test_missing_units_are_requested(answers, expected):
     assert obtain(answers) == expected
 
 
-def test_an_entry_alone_asks_nobody():
+def test_a_standalone_entry_requests_no_units():
     state = entry_that_holds(10)
-    state.quotas.go_alone(LIMITS, 0)
+    state.quotas.enter_standalone(LIMITS, 0)
     assert obtain([40], state=state) == (False, [], 10)
 
 
-def test_an_answer_that_comes_late_counts():
-    """The home counts it as held here, so it must not be lost."""
+def test_a_late_answer_counts():
+    """The home counts the units as held by the entry: they must not be lost."""
     state = entry_that_holds(10)
     requests = UnitRequests(state)
 
@@ -111,17 +111,17 @@
             assert not await requests.obtain('w', 50)
 
     run_async(main)
-    assert state.quotas.left('w', LIMITS['w'], 0) == 50
+    assert state.quotas.available('w', LIMITS['w'], 0) == 50
 
 
 async def two_entries(world, behaviour):
-    """Start two gateways before one limit; return the home and the other."""
-    world.configure(workspaces=[PlainWorkspace('w', ['k'], RATE, MOST)])
+    """Start two gateways with one limit; return the home and the other."""
+    world.configure(workspaces=[PlainWorkspace('w', ['k'], RATE, MAX_REQUESTS)])
     await world.add_upstream(behaviour)
-    bounds = {'quota_window_seconds': WINDOW, 'quota_allowance': MOST}
+    bounds = {'quota_window_seconds': WINDOW, 'quota_allowance': MAX_REQUESTS}
     states = [await world.add_gateway(**bounds) for _ in range(2)]
     await wait_until(lambda: all(row.quotas.entries == 2 for row in states))
-    # Until then a new home takes a part of the limit as spent.
+    # Until then a new home assumes that a part of the limit is spent.
     await anyio.sleep(WINDOW + BUCKET_SECONDS)
     return sorted(states, key=lambda row: row.tenure is None)
 
@@ -136,18 +136,18 @@
 
 @in_world
 async def test_one_entry_is_served_the_whole_limit(world):
-    """What exceeds its part comes from the pool, and from others in time.
+    """Units beyond its share come from the pool, and later from others.
 
-    The pool may fall below nothing for one request.
+    The pool may be overdrawn for one request.
     """
     _, other = await two_entries(world, whole())
     answers = []
-    for _ in range(TRIES):
+    for _ in range(ATTEMPTS):
         answers += await statuses(other, 1)
-        await anyio.sleep(WINDOW / 2 / TRIES)
+        await anyio.sleep(WINDOW / 2 / ATTEMPTS)
     served = answers.count(HTTPStatus.OK)
-    assert MOST <= served <= MOST + 1
-    assert answers.count(HTTPStatus.TOO_MANY_REQUESTS) == TRIES - served
+    assert MAX_REQUESTS <= served <= MAX_REQUESTS + 1
+    assert answers.count(HTTPStatus.TOO_MANY_REQUESTS) == ATTEMPTS - served
     counters = other.counters
     counts = (counters.units_admitted, counters.units_run)
     shown = [row.labels('w')._value.get() for row in counts]
@@ -155,25 +155,27 @@
 
 
 @in_world
-async def test_what_did_not_run_comes_back(world):
+async def test_units_of_refused_requests_are_returned(world):
     _, other = await two_entries(world, refused())
-    assert set(await statuses(other, 2 * MOST)) == {503}
+    assert set(await statuses(other, 2 * MAX_REQUESTS)) == {503}
     returned = other.counters.units_returned.labels('w')
-    assert returned._value.get() == 2 * MOST
+    assert returned._value.get() == 2 * MAX_REQUESTS
 
 
 @in_world
-async def test_the_record_ends_with_the_pressure(world):
-    """A record that stayed would hold for a home much later."""
+async def test_the_record_is_removed_when_demand_falls(world):
+    """A record that stayed would be applied by a much later home."""
     _, other = await two_entries(world, whole())
     assert SPENDING_KEY not in world.store.items
-    await statuses(other, MOST)
-    await wait_until(lambda: sum(recorded(world).get('w', ())) > MOST / 2)
+    await statuses(other, MAX_REQUESTS)
+    await wait_until(
+        lambda: sum(recorded(world).get('w', ())) > MAX_REQUESTS / 2,
+    )
     await wait_until(lambda: not recorded(world))
 
 
 def recorded(world):
-    """Return what the store says of spending, by workspace and age."""
+    """Return the recorded spending by workspace and age."""
     item = world.store.items.get(SPENDING_KEY)
     if item is None:
         return {}
