--- a/packages/spanfall-standins/src/spanfall_standins/gateway/dialect.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/dialect.py
@@ -30,7 +30,7 @@
 
 CONFIGURATION_KEY = 'operator/configuration'
 UPSTREAM_PREFIX = 'upstreams/'
-TIMELINE = b'timeline'
+TIMELINE_HEADER = b'timeline'
 
 NAMES = HeaderNames(
     attempt_id=b'attempt',
@@ -182,13 +182,13 @@
 
 
 def _read_statement(status: int, headers: Headers) -> Statement:
-    known = dict(headers)
-    rate = read_decimal(known.get(b'takes-a-second', b''))
+    fields = dict(headers)
+    rate = read_decimal(fields.get(b'takes-a-second', b''))
     return Statement(
         rate=rate,
-        is_rate_unread=b'takes-a-second' in known and rate is None,
-        leaves=b'leaves' in known,
-        backoff=read_decimal(known.get(b'back-off', b'')) or 0,
+        is_rate_unread=b'takes-a-second' in fields and rate is None,
+        leaves=b'leaves' in fields,
+        backoff=read_decimal(fields.get(b'back-off', b'')) or 0,
     )
 
 
@@ -238,7 +238,9 @@
     read_listing=_read_listing,
     read_revision=int,
     read_lease=int,
-    read_timeline=lambda rows: read_timeline(dict(rows).get(TIMELINE, b'')),
+    read_timeline=lambda rows: read_timeline(
+        dict(rows).get(TIMELINE_HEADER, b'')
+    ),
 )
 
 
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/server.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/server.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ReceivedRequest:
     """Hold a request as it arrived."""
 
     method: str
@@ -22,14 +22,14 @@
 
 
 #: Connections that fill a queue of none: the system lets one in besides.
-FILLING_CONNECTIONS = 2
+BACKLOG_CONNECTIONS = 2
 
 #: Answer a request on its stream; False closes the connection.
-Answerer = Callable[[Seen, SocketStream], Awaitable[bool]]
+RequestHandler = Callable[[ReceivedRequest, SocketStream], Awaitable[bool]]
 
 
 @unique
-class AfterEnd(StrEnum):
+class AfterExit(StrEnum):
     """Name what the address of a process does once the process has ended."""
 
     #: Nothing listens there.
@@ -42,43 +42,43 @@
 
 async def start_server(
     tasks: TaskGroup,
-    answerer: Answerer,
-    life: anyio.CancelScope | None = None,
-    after_end: AfterEnd = AfterEnd.REFUSES,
+    handle_request: RequestHandler,
+    process_scope: anyio.CancelScope | None = None,
+    after_exit: AfterExit = AfterExit.REFUSES,
 ) -> str:
     """Start a server on a free loopback port and return its address.
 
     ``life`` is cancelled as its process ends; what the address does from then
     on is told by ``after_end``.
     """
-    multi = await anyio.create_tcp_listener(local_host='127.0.0.1')
-    listener: SocketListener = multi.listeners[0]
+    multi_listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
+    listener: SocketListener = multi_listener.listeners[0]
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
-    scope = life or anyio.CancelScope()
+    scope = process_scope or anyio.CancelScope()
 
     async def serve(stream: SocketStream) -> None:
-        await _serve_connection(stream, answerer)
+        await _serve_connection(stream, handle_request)
 
-    async def live() -> None:
+    async def run_process() -> None:
         with scope:
             await listener.serve(serve)
-        if after_end is AfterEnd.CLOSES:
+        if after_exit is AfterExit.CLOSES:
             await listener.serve(_close)
         await listener.aclose()
 
-    async def serve_or_hold(stream: SocketStream) -> None:
+    async def serve_or_hang(stream: SocketStream) -> None:
         # A host without power closes nothing.
-        await _serve_connection(stream, answerer, scope)
+        await _serve_connection(stream, handle_request, scope)
 
-    async def live_until_silent() -> None:
+    async def run_on_failing_host() -> None:
         with scope:
-            await listener.serve(serve_or_hold, tasks)
+            await listener.serve(serve_or_hang, tasks)
         await listener.aclose()
         with _silent_port(port):
             await anyio.sleep_forever()
 
-    is_silent = after_end is AfterEnd.SILENT
-    tasks.start_soon(live_until_silent if is_silent else live)
+    is_silent = after_exit is AfterExit.SILENT
+    tasks.start_soon(run_on_failing_host if is_silent else run_process)
     return f'127.0.0.1:{port}'
 
 
@@ -90,71 +90,75 @@
 def _silent_port(port: int) -> Iterator[None]:
     """Let a port answer no opening packet: its queue is full."""
     with ExitStack() as stack:
-        listener = stack.enter_context(socket.socket())
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(('127.0.0.1', port))
-        listener.listen(0)
-        for _ in range(FILLING_CONNECTIONS):
-            filling = stack.enter_context(socket.socket())
-            filling.setblocking(False)
-            filling.connect_ex(('127.0.0.1', port))
+        sock = stack.enter_context(socket.socket())
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind(('127.0.0.1', port))
+        sock.listen(0)
+        for _ in range(BACKLOG_CONNECTIONS):
+            client = stack.enter_context(socket.socket())
+            client.setblocking(False)
+            client.connect_ex(('127.0.0.1', port))
         yield
 
 
 async def _serve_connection(
     stream: SocketStream,
-    answerer: Answerer,
-    life: anyio.CancelScope | None = None,
+    handle_request: RequestHandler,
+    process_scope: anyio.CancelScope | None = None,
 ) -> None:
     """Serve a connection; one of a host that went stays as it is."""
     try:
         async with stream:
-            await _serve_requests(stream, answerer)
-            if life is not None and life.cancel_called:
+            await _serve_requests(stream, handle_request)
+            if process_scope is not None and process_scope.cancel_called:
                 await anyio.sleep_forever()
     except (anyio.BrokenResourceError, anyio.EndOfStream, OSError):
         return
 
 
-async def _serve_requests(stream: SocketStream, answerer: Answerer) -> None:
+async def _serve_requests(
+    stream: SocketStream, handle_request: RequestHandler
+) -> None:
     while True:
-        seen = await read_request(stream)
-        if seen is None or not await answerer(seen, stream):
+        request = await read_request(stream)
+        if request is None or not await handle_request(request, stream):
             return
 
 
-async def read_request(stream: SocketStream) -> Seen | None:
+async def read_request(stream: SocketStream) -> ReceivedRequest | None:
     """Return the next request, or None when the client closed."""
     protocol = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     while True:
         event = protocol.next_event()
         if event is h11.NEED_DATA:
-            protocol.receive_data(await _received(stream))
+            protocol.receive_data(await _receive(stream))
         elif isinstance(event, h11.Request):
             head = event
         elif isinstance(event, h11.Data):
-            parts.append(bytes(event.data))
+            chunks.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return _seen(head, b''.join(parts))
+            return _build_request(head, b''.join(chunks))
         else:
             return None
 
 
-async def _received(stream: SocketStream) -> bytes:
+async def _receive(stream: SocketStream) -> bytes:
     try:
         return await stream.receive()
     except (anyio.EndOfStream, anyio.BrokenResourceError):
         return b''
 
 
-def _seen(head: h11.Request, body: bytes) -> Seen:
+def _build_request(head: h11.Request, body: bytes) -> ReceivedRequest:
     headers = {name.decode(): text.decode() for name, text in head.headers}
-    return Seen(head.method.decode(), head.target.decode(), headers, body)
+    return ReceivedRequest(
+        head.method.decode(), head.target.decode(), headers, body
+    )
 
 
-def answer_bytes(
+def encode_response(
     status: int,
     body: bytes,
     headers: dict[str, str] | None = None,
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/store.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/store.py
@@ -9,12 +9,12 @@
 from anyio.abc import SocketStream
 
 from spanfall_standins.gateway.dialect import (
-    TIMELINE,
+    TIMELINE_HEADER,
     PlainItem,
     PlainPage,
     PlainTransaction,
 )
-from spanfall_standins.gateway.server import Seen, answer_bytes
+from spanfall_standins.gateway.server import ReceivedRequest, encode_response
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,10 +37,10 @@
     #: Rises as the store is restored from a copy.
     timeline: int = 0
     #: Status that every call gets instead of an answer; 0: none.
-    failing: int = 0
-    least_lease_ms: int = 0
+    error_status: int = 0
+    min_lease_ms: int = 0
     #: Whether writes are done and their answers lost.
-    loses_answers: bool = False
+    drops_responses: bool = False
     calls: list[str] = field(default_factory=list)
 
     @property
@@ -48,22 +48,24 @@
         """Return how often items were listed or were to be."""
         return sum(target.startswith('/items?') for target in self.calls)
 
-    async def answer(self, seen: Seen, stream: SocketStream) -> bool:
+    async def answer(
+        self, request: ReceivedRequest, stream: SocketStream
+    ) -> bool:
         """Answer one call."""
-        self.calls.append(seen.target)
-        if self.failing:
-            await stream.send(self._answer(self.failing, b''))
+        self.calls.append(request.target)
+        if self.error_status:
+            await stream.send(self._encode(self.error_status, b''))
             return True
         self._expire()
-        status, body = self._handle(seen)
-        if self.loses_answers and seen.method == 'POST':
+        status, body = self._handle(request)
+        if self.drops_responses and request.method == 'POST':
             return False
-        await stream.send(self._answer(status, body))
+        await stream.send(self._encode(status, body))
         return True
 
-    def _answer(self, status: int, body: bytes) -> bytes:
-        headers = {TIMELINE.decode(): str(self.timeline)}
-        return answer_bytes(status, body, headers)
+    def _encode(self, status: int, body: bytes) -> bytes:
+        headers = {TIMELINE_HEADER.decode(): str(self.timeline)}
+        return encode_response(status, body, headers)
 
     def copy(self) -> StoreCopy:
         """Return a copy of all that the store holds now."""
@@ -89,20 +91,20 @@
         self.items.pop(key, None)
 
     def _set(self, key: str, content: str, lease: int) -> None:
-        known = self.items.get(key)
-        created = known.created if known else self.revision
+        existing = self.items.get(key)
+        created = existing.created if existing else self.revision
         item = PlainItem(key, content, self.revision, created, lease)
         self.items[key] = item
 
-    def _handle(self, seen: Seen) -> tuple[int, bytes]:
-        parts = urlsplit(seen.target)
+    def _handle(self, request: ReceivedRequest) -> tuple[int, bytes]:
+        parts = urlsplit(request.target)
         query = parse_qs(parts.query)
         if parts.path == '/item':
             return self._get(query['key'][0])
         if parts.path == '/items':
             return 200, self._list(query['prefix'][0])
         if parts.path == '/transaction':
-            return self._transact(seen.body)
+            return self._transact(request.body)
         return self._lease(parts.path.split('/'))
 
     def _get(self, key: str) -> tuple[int, bytes]:
@@ -118,18 +120,18 @@
         return msgspec.json.encode(PlainPage(rows, self.revision))
 
     def _transact(self, body: bytes) -> tuple[int, bytes]:
-        wanted = msgspec.json.decode(body, type=PlainTransaction)
-        for key, revision in wanted.expected.items():
+        transaction = msgspec.json.decode(body, type=PlainTransaction)
+        for key, revision in transaction.expected.items():
             if self._revision_of(key) != revision:
                 return 412, b'[]'
-        leases = {lease for _, _, lease in wanted.writes if lease}
+        leases = {lease for _, _, lease in transaction.writes if lease}
         if leases - self.leases.keys():
             return 404, b''
         self.revision += 1
-        for name, content, lease in wanted.writes:
+        for name, content, lease in transaction.writes:
             self._set(name, content, lease)
-        for gone in wanted.removed:
-            self.items.pop(gone, None)
+        for removed_key in transaction.removed:
+            self.items.pop(removed_key, None)
         return 200, str(self.revision).encode()
 
     def _revision_of(self, key: str) -> int:
@@ -138,7 +140,7 @@
 
     def _lease(self, path: list[str]) -> tuple[int, bytes]:
         verb, number = path[2], int(path[3])
-        if verb == 'new' and number < self.least_lease_ms:
+        if verb == 'new' and number < self.min_lease_ms:
             return 400, b''
         if verb == 'new':
             lease = len(self.leases) + 100 + self.revision
@@ -149,20 +151,20 @@
         if verb == 'renew':
             self.leases[number] = (self.leases[number][0], self.clock())
         else:
-            self.end(number)
+            self.end_lease(number)
         return 200, b''
 
     def _expire(self) -> None:
         now = self.clock()
-        over = [
+        expired = [
             lease
-            for lease, (seconds, began) in self.leases.items()
-            if now - began > seconds
+            for lease, (seconds, renewed_at) in self.leases.items()
+            if now - renewed_at > seconds
         ]
-        for lease in over:
-            self.end(lease)
+        for lease in expired:
+            self.end_lease(lease)
 
-    def end(self, lease: int) -> None:
+    def end_lease(self, lease: int) -> None:
         """End a lease and remove its items."""
         self.leases.pop(lease)
         held = [key for key, row in self.items.items() if row.lease == lease]
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/upstream.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/upstream.py
@@ -6,10 +6,12 @@
 import anyio
 from anyio.abc import SocketStream
 
-from spanfall_standins.gateway.server import Seen, answer_bytes
+from spanfall_standins.gateway.server import ReceivedRequest, encode_response
 
 #: Answer one request; False closes the connection.
-Behaviour = Callable[['StandInUpstream', Seen, SocketStream], Awaitable[bool]]
+Behaviour = Callable[
+    ['StandInUpstream', ReceivedRequest, SocketStream], Awaitable[bool]
+]
 
 EVENT_STREAM = {
     'content-type': 'text/event-stream',
@@ -23,53 +25,63 @@
 
     lifetime: str
     behaviour: Behaviour
-    seen: list[Seen] = field(default_factory=list)
+    received_requests: list[ReceivedRequest] = field(default_factory=list)
     #: Requests whose client closed before the answer was whole.
-    left: list[Seen] = field(default_factory=list)
+    abandoned_requests: list[ReceivedRequest] = field(default_factory=list)
     #: What it says of itself in all its answers, as headers.
-    says: dict[str, str] = field(default_factory=dict)
+    statement_headers: dict[str, str] = field(default_factory=dict)
     #: Cancelled as the upstream's process ends.
-    life: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    process_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
-    async def answer(self, seen: Seen, stream: SocketStream) -> bool:
+    async def answer(
+        self, request: ReceivedRequest, stream: SocketStream
+    ) -> bool:
         """Answer one request."""
-        self.seen.append(seen)
-        return await self.behaviour(self, seen, stream)
+        self.received_requests.append(request)
+        return await self.behaviour(self, request, stream)
 
-    def signed(self, seen: Seen) -> dict[str, str]:
+    def response_headers(self, request: ReceivedRequest) -> dict[str, str]:
         """Return the headers that mark an answer as this upstream's."""
-        attempt = seen.headers.get('attempt', '')
-        mark = f'{self.lifetime}.{attempt}'
-        return {'attempt': attempt, 'signed': mark, **self.says}
+        attempt = request.headers.get('attempt', '')
+        signature = f'{self.lifetime}.{attempt}'
+        return {
+            'attempt': attempt,
+            'signed': signature,
+            **self.statement_headers,
+        }
 
 
-def whole(status: int = 200, body: bytes = b'done') -> Behaviour:
+def complete_response(status: int = 200, body: bytes = b'done') -> Behaviour:
     """Answer whole."""
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        await stream.send(answer_bytes(status, body, upstream.signed(seen)))
+        await stream.send(
+            encode_response(status, body, upstream.response_headers(request))
+        )
         return True
 
     return run
 
 
-def ends_under(deadly: bytes, otherwise: Behaviour) -> Behaviour:
+def crashes_on(crashing_body: bytes, other_behaviour: Behaviour) -> Behaviour:
     """End the upstream's process as it begins to run a request."""
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        if seen.body != deadly:
-            return await otherwise(upstream, seen, stream)
-        head = answer_bytes(200, b'', {**upstream.signed(seen), **EVENT_STREAM})
+        if request.body != crashing_body:
+            return await other_behaviour(upstream, request, stream)
+        head = encode_response(
+            200, b'', {**upstream.response_headers(request), **EVENT_STREAM}
+        )
         await stream.send(head.replace(b'content-length: 0\r\n', b''))
-        upstream.life.cancel()
+        upstream.process_scope.cancel()
         await anyio.sleep_forever()
         return False
 
@@ -81,11 +93,11 @@
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        headers = {'not-run': '1', **upstream.says}
-        await stream.send(answer_bytes(status, b'', headers))
+        headers = {'not-run': '1', **upstream.statement_headers}
+        await stream.send(encode_response(status, b'', headers))
         return True
 
     return run
@@ -96,10 +108,10 @@
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        attempt = seen.headers.get('attempt', '').encode()
+        attempt = request.headers.get('attempt', '').encode()
         for piece in pieces:
             await stream.send(piece.replace(b'{id}', attempt))
         return keep
@@ -112,13 +124,13 @@
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            upstream.left.append(seen)
+            upstream.abandoned_requests.append(request)
         return False
 
     return run
@@ -129,10 +141,12 @@
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        head = answer_bytes(200, b'', {**upstream.signed(seen), **EVENT_STREAM})
+        head = encode_response(
+            200, b'', {**upstream.response_headers(request), **EVENT_STREAM}
+        )
         await stream.send(head.replace(b'content-length: 0\r\n', b''))
         for number in range(first, last + 1):
             await stream.send(chunk(b'id: %d\ndata: x\n\n' % number))
@@ -153,14 +167,14 @@
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        known = int(seen.headers.get('last-event-id', '0'))
-        behaviour = events(known + 1, last)
-        if not known:
+        last_event_id = int(request.headers.get('last-event-id', '0'))
+        behaviour = events(last_event_id + 1, last)
+        if not last_event_id:
             behaviour = events(1, breaks_after, ends=False)
-        return await behaviour(upstream, seen, stream)
+        return await behaviour(upstream, request, stream)
 
     return run
 
@@ -172,14 +186,14 @@
 
 def in_turn(*behaviours: Behaviour) -> Behaviour:
     """Answer the first request the first way, and so on; then the last."""
-    left = list(behaviours)
+    remaining = list(behaviours)
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        behaviour = left.pop(0) if len(left) > 1 else left[0]
-        return await behaviour(upstream, seen, stream)
+        behaviour = remaining.pop(0) if len(remaining) > 1 else remaining[0]
+        return await behaviour(upstream, request, stream)
 
     return run
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -28,9 +28,9 @@
     PlainShare,
 )
 from spanfall_standins.gateway.server import (
-    AfterEnd,
-    Seen,
-    answer_bytes,
+    AfterExit,
+    ReceivedRequest,
+    encode_response,
     start_server,
 )
 from spanfall_standins.gateway.store import StandInStore
@@ -115,7 +115,7 @@
     async def add_upstream(
         self,
         behaviour: Behaviour,
-        after_end: AfterEnd = AfterEnd.REFUSES,
+        after_exit: AfterExit = AfterExit.REFUSES,
     ) -> StandInUpstream:
         """Start an upstream and list it."""
         lifetime = f'u-{next(self._numbers)}'
@@ -123,8 +123,8 @@
         address = await start_server(
             self.tasks,
             upstream.answer,
-            upstream.life,
-            after_end,
+            upstream.process_scope,
+            after_exit,
         )
         row = ListedUpstream(lifetime, SERVICE, address, 'north', slots=4)
         encoded = msgspec.json.encode(row).decode()
@@ -196,10 +196,12 @@
         await wait_until_open(listen.callers)
         return state
 
-    async def answer_cloud(self, seen: Seen, stream: SocketStream) -> bool:
+    async def answer_cloud(
+        self, seen: ReceivedRequest, stream: SocketStream
+    ) -> bool:
         """Record a call of the cloud API."""
         self.cloud_calls.append(json.loads(seen.body))
-        await stream.send(answer_bytes(200, b''))
+        await stream.send(encode_response(200, b''))
         return True
 
 
--- a/tests/test_gateway_asked_backoff.py
+++ b/tests/test_gateway_asked_backoff.py
@@ -15,7 +15,7 @@
 import pytest
 from gateway_world import ask, in_world
 from spanfall_core.gateway.known.backoffs import MOST_NAMED, Backoffs
-from spanfall_standins.gateway.upstream import refused, whole
+from spanfall_standins.gateway.upstream import complete_response, refused
 from test_gateway_home import two_gateways
 
 BACKOFF_SECONDS = 2.0
@@ -34,21 +34,21 @@
         self.upstream = upstream
         self.arrivals = []
         self.asked = {}
-        self.answers = whole()
+        self.answers = complete_response()
         upstream.behaviour = self._answer
 
     async def _answer(self, one, seen, stream):
         entry = seen.headers['attempt'].partition('/')[0]
         now = anyio.current_time()
         self.arrivals.append((now, entry))
-        if 'back-off' in one.says:
+        if 'back-off' in one.statement_headers:
             self.asked.setdefault(entry, now)
         return await self.answers(one, seen, stream)
 
     def turn_away(self):
         """Turn away from now on and ask for a back-off."""
         self.answers = refused()
-        self.upstream.says = TURNS_AWAY
+        self.upstream.statement_headers = TURNS_AWAY
 
     def in_backoff(self, entry):
         """Return how many requests of an entry came in its back-off."""
@@ -80,9 +80,9 @@
 def test_a_backoff_is_kept(others):
     @in_world
     async def play(world):
-        busy = BusyUpstream(await world.add_upstream(whole()))
+        busy = BusyUpstream(await world.add_upstream(complete_response()))
         for _ in range(others):
-            await world.add_upstream(whole())
+            await world.add_upstream(complete_response())
         gateways = [await world.add_gateway() for _ in range(2)]
         busy.turn_away()
         entry = gateways[1].cfg.node
@@ -96,7 +96,7 @@
 @in_world
 async def test_who_meets_a_backoff_is_told_its_end(world):
     """At once, with that time; then it is served as before."""
-    busy = BusyUpstream(await world.add_upstream(whole()))
+    busy = BusyUpstream(await world.add_upstream(complete_response()))
     state = await world.add_gateway()
     busy.turn_away()
     refusals = [await ask(state, '/any/1', attempt=name) for name in 'abc']
@@ -105,8 +105,8 @@
     assert seconds == sorted(seconds, reverse=True)
     assert BACKOFF_SECONDS >= seconds[0] and seconds[-1] > 0
     assert len(busy.arrivals) == 1
-    busy.answers = whole()
-    busy.upstream.says = {}
+    busy.answers = complete_response()
+    busy.upstream.statement_headers = {}
     await anyio.sleep(seconds[-1])
     served = await ask(state, '/any/1', attempt='d')
     failures = state.loads.failures_at('u-1', state.timers.now())
@@ -116,12 +116,12 @@
 @in_world
 async def test_a_backoff_is_asked_of_one_entry(world):
     """The home that grants for another entry has no back-off itself."""
-    busy = BusyUpstream(await world.add_upstream(whole()))
+    busy = BusyUpstream(await world.add_upstream(complete_response()))
     home, other = await two_gateways(world)
     busy.turn_away()
     refused_once = await ask(other, '/any/1', attempt='o/1')
-    busy.answers = whole()
-    busy.upstream.says = {}
+    busy.answers = complete_response()
+    busy.upstream.statement_headers = {}
     served = await ask(home, '/any/1', attempt='h/1')
     kept = await ask(other, '/any/1', attempt='o/2')
     statuses = [one.status for one in (refused_once, served, kept)]
--- a/tests/test_gateway_crash_spread.py
+++ b/tests/test_gateway_crash_spread.py
@@ -11,10 +11,10 @@
 from spanfall_node.gateway.store.crash_record import CRASHES_KEY
 from spanfall_node.gateway.tables.crash_knowledge import CrashKnowledge
 from spanfall_standins.gateway.upstream import (
-    ends_under,
+    complete_response,
+    crashes_on,
     in_turn,
     raw,
-    whole,
 )
 from support import wait_until
 
@@ -27,7 +27,7 @@
 async def quarantine(world, state):
     """Let three upstreams end under the request."""
     for _ in range(4):
-        await world.add_upstream(ends_under(DEADLY, whole()))
+        await world.add_upstream(crashes_on(DEADLY, complete_response()))
     await wait_until(lambda: len(state.directory.rows) == 4)
     for number in range(4):
         await ask(state, PATH, attempt=f'c{number}', body=DEADLY)
@@ -71,7 +71,7 @@
 
 @in_world
 async def test_a_garbled_answer_is_no_crash(world):
-    await world.add_upstream(in_turn(raw(BROKEN), whole()))
+    await world.add_upstream(in_turn(raw(BROKEN), complete_response()))
     state = await world.add_gateway()
     await ask(state, PATH, body=DEADLY)
     assert state.crashes.standing(IDENTITY, state.timers.now()) is Standing.FREE
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -13,7 +13,11 @@
 import anyio
 import pytest
 from gateway_world import ask, in_world
-from spanfall_standins.gateway.upstream import ends_under, events, whole
+from spanfall_standins.gateway.upstream import (
+    complete_response,
+    crashes_on,
+    events,
+)
 
 DEADLY = b'deadly'
 #: Upstreams that may end before the request is known for it.
@@ -24,7 +28,11 @@
 
 def ended(world):
     """Return the upstreams whose processes have ended."""
-    return [row for row in world.upstreams.values() if row.life.cancel_called]
+    return [
+        row
+        for row in world.upstreams.values()
+        if row.process_scope.cancel_called
+    ]
 
 
 async def send_again_and_again(world, gateways, path, attempts):
@@ -45,7 +53,7 @@
     @in_world
     async def play(world):
         for _ in range(12):
-            await world.add_upstream(ends_under(DEADLY, whole()))
+            await world.add_upstream(crashes_on(DEADLY, complete_response()))
         gateways = [await world.add_gateway() for _ in range(3)]
         answers = await send_again_and_again(world, gateways, path, 12)
         assert len(ended(world)) == KNOWN_AFTER
@@ -60,7 +68,7 @@
 @in_world
 async def test_those_that_ran_beside_it_are_served(world):
     """What breaks with the upstream is not taken for the cause."""
-    behaviour = ends_under(DEADLY, events(1, 3))
+    behaviour = crashes_on(DEADLY, events(1, 3))
     for _ in range(8):
         await world.add_upstream(behaviour)
     gateways = [await world.add_gateway() for _ in range(2)]
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -19,7 +19,7 @@
 )
 from spanfall_node.gateway.links.messages import GrantMessage
 from spanfall_node.gateway.upstreams.grants import ALONE_SECONDS, Grants
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_home import two_gateways
 
@@ -110,7 +110,7 @@
     """Two entries that ask at once do not take the same upstream."""
     home, other = await two_gateways(world)
     for _ in range(2):
-        await world.add_upstream(whole())
+        await world.add_upstream(complete_response())
     await wait_until(lambda: len(home.directory.rows) == 2)
     await wait_until(lambda: len(other.directory.rows) == 2)
     grants = Grants(home)
@@ -128,7 +128,7 @@
 @in_world
 async def test_an_entry_decides_alone_without_a_home(world):
     """The wait is bounded, and the next requests do not wait at all."""
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
     state.tenure = None
@@ -151,7 +151,7 @@
 
 @in_world
 async def test_a_grant_of_what_is_gone_is_not_used(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
     state.tenure = None
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -33,7 +33,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 
@@ -81,12 +81,12 @@
 async def test_a_store_that_is_away_gets_one_call(world):
     """Listings wait until one call has told that the store is back."""
     state = await world.add_gateway()
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not state.is_ready(state.timers.now()))
     listed = world.store.listings
     await anyio.sleep(2 * READ_PERIOD)
     assert world.store.listings == listed
-    world.store.failing = 0
+    world.store.error_status = 0
     await wait_until(lambda: world.store.listings > listed)
 
 
@@ -134,7 +134,7 @@
 async def test_an_entry_reads_what_the_home_cannot(world):
     """The home's configuration is new, its list of upstreams is not."""
     home, other = await two_gateways(world)
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     await wait_until(lambda: upstream.lifetime in other.directory.rows)
     home.directory.apply = lambda *_: ()
     home.directory.prove = lambda _: None
@@ -147,7 +147,7 @@
 async def test_a_home_that_resigns_is_followed(world):
     """Entries keep what the old home said until the new one speaks."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     home, other = await two_gateways(world)
     await ask(other, '/keyed/7', authorization='Key k')
     await wait_until(lambda: bool(other.report().spending.levels))
@@ -193,7 +193,7 @@
         self._world = world
 
     async def revoke(self, timeline, lease):
-        self._world.store.end(lease)
+        self._world.store.end_lease(lease)
 
 
 @in_world
@@ -202,7 +202,7 @@
     home, other = await two_gateways(world)
     ended = home.tenure
     for lease in list(world.store.leases):
-        world.store.end(lease)
+        world.store.end_lease(lease)
     await wait_until(lambda: ended.resigned)
     assert not ended.may_give(home.timers.now())
     await wait_until(lambda: home_of(home, other) is not None)
@@ -222,7 +222,7 @@
 
 @in_world
 async def test_a_store_that_grants_long_leases_only(world):
-    world.store.least_lease_ms = 4000
+    world.store.min_lease_ms = 4000
     state = await world.add_gateway(least_lease_seconds=4)
     await wait_until(lambda: state.is_home(state.timers.now()))
 
@@ -230,10 +230,10 @@
 @in_world
 async def test_a_lost_answer_to_the_claim_is_settled(world):
     """The record may be ours though no answer came; only its lease tells."""
-    world.store.loses_answers = True
+    world.store.drops_responses = True
     state = await world.add_unready_gateway()
     await wait_until(lambda: len(world.store.leases) > 0)
-    world.store.loses_answers = False
+    world.store.drops_responses = False
     await wait_until(lambda: state.is_home(state.timers.now()))
 
 
@@ -250,7 +250,7 @@
 async def test_an_entry_that_starts_reads_no_listing(world):
     """The home tells all; hundreds of restarts cost the store one look each."""
     world.configure()
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     home = await world.add_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
     own = home.counters.registry.get_sample_value
--- a/tests/test_gateway_home_restore.py
+++ b/tests/test_gateway_home_restore.py
@@ -97,12 +97,12 @@
         await wait_until(lambda: is_home(first))
         other = await world.add_gateway()
         await wait_until(lambda: other.home_heard_at > 0)
-        world.store.failing = 503
+        world.store.error_status = 503
         await wait_until(lambda: first.tenure.is_cut)
         epoch = first.tenure.epoch
         life.cancel()
     world.store.restore(world.store.copy())
-    world.store.failing = 0
+    world.store.error_status = 0
     restored_at = other.timers.now()
     await wait_until(lambda: is_home(other))
     assert other.tenure.epoch > epoch
@@ -185,11 +185,11 @@
 async def test_a_home_whose_lease_is_lost(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not is_home(home))
     world.store.restore(world.store.copy())
     with patch.object(leadership, 'look_period', return_value=LONG):
-        world.store.failing = 0
+        world.store.error_status = 0
         with anyio.fail_after(RECORDED):
             await wait_until(lambda: is_home(home))
 
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -4,7 +4,7 @@
 from spanfall_standins.gateway.dialect import (
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 
@@ -12,10 +12,10 @@
 async def test_keys_are_refused_when_the_store_is_away(world):
     """A revoked key must not work longer than the bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway(revoke_seconds=0.5)
     before = await ask(state, '/keyed/7', authorization='Key k')
-    world.store.failing = 503
+    world.store.error_status = 503
     now = state.timers.now
     await wait_until(lambda: not state.freshness.may_serve_keys(now()))
     after = await ask(state, '/keyed/7', authorization='Key k')
@@ -29,12 +29,12 @@
 async def test_keys_work_on_where_nothing_demands_else(world):
     """The store is away for longer than the bound; callers are served."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway(
         revoke_seconds=0.5,
         revocation_binds=False,
     )
-    world.store.failing = 503
+    world.store.error_status = 503
     now = state.timers.now
     await wait_until(lambda: not state.is_ready(now()))
     await wait_until(lambda: state.freshness.age(now()) > 0.5)
@@ -46,11 +46,11 @@
 @in_world
 async def test_keys_are_checked_and_not_passed_on(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
     unknown = await ask(state, '/keyed/7', authorization='Key other')
     known = await ask(state, '/keyed/7', authorization='Key k', workspace='x')
-    seen = upstream.seen[0].headers
+    seen = upstream.received_requests[0].headers
     assert (unknown.status, known.status) == (401, 200)
     assert (seen['workspace'], 'authorization' in seen) == ('w', False)
 
@@ -58,7 +58,7 @@
 @in_world
 async def test_usage_is_reported_once_by_window(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway(usage_window_seconds=0.5)
     for turn in range(3):
         await ask(state, '/keyed/7', attempt=f'a{turn}', authorization='Key k')
--- a/tests/test_gateway_lifetimes.py
+++ b/tests/test_gateway_lifetimes.py
@@ -11,7 +11,7 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.prefixes import PrefixIndex, PromptPart
 from spanfall_standins.gateway.dialect import UPSTREAM_PREFIX
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 NO_OUTAGE = float('-inf')
@@ -159,7 +159,7 @@
 @in_world
 async def test_an_entry_that_errs_hides_no_other(world):
     """The home lists the others; the entry is counted once a change."""
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     world.store.put(f'{UPSTREAM_PREFIX}u-x', '[]')
     state = await world.add_unready_gateway()
     await wait_until(lambda: upstream.lifetime in state.directory.rows)
@@ -174,7 +174,7 @@
 @in_world
 async def test_an_upstream_that_starts_again_is_used(world):
     """It is listed, gone, and listed again under its id."""
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
     key = f'{UPSTREAM_PREFIX}{upstream.lifetime}'
     address = next(iter(state.directory.rows.values())).address
@@ -183,5 +183,5 @@
     list_again(world, upstream.lifetime, address, 2000)
     await wait_until(lambda: bool(state.directory.serving(SERVICE)))
     assert (await ask(state, '/once/7')).status == 200
-    seen = upstream.seen[-1].headers
+    seen = upstream.received_requests[-1].headers
     assert seen['lifetime-wanted'] == upstream.lifetime
--- a/tests/test_gateway_limited_orders.py
+++ b/tests/test_gateway_limited_orders.py
@@ -7,7 +7,7 @@
 from spanfall_core.gateway.orders.capacity import HOLD_BOOTS
 from spanfall_core.gateway.orders.demand import lost_to_limits
 from spanfall_core.gateway.orders.orders import count_present
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from test_gateway_capacity import (
     PLACES,
     SCALING,
@@ -40,9 +40,9 @@
 @in_world
 async def test_the_home_counts_each_request_that_asks(world):
     """Refused ones too: what is offered counts, not what is served."""
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
-    upstream.says = {'takes-a-second': '0'}
+    upstream.statement_headers = {'takes-a-second': '0'}
     statuses = [
         (await ask(state, '/any/1', attempt=f'a{number}')).status
         for number in range(3)
--- a/tests/test_gateway_named_limit.py
+++ b/tests/test_gateway_named_limit.py
@@ -22,7 +22,7 @@
     most_in_a_span,
 )
 from spanfall_node.gateway.upstreams.choosing import TURN_STEP
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
 
@@ -73,7 +73,7 @@
     """Let upstreams name a limit; return when, and who observes the first."""
     observer = Observer(upstreams[0])
     for upstream in upstreams:
-        upstream.says = {'takes-a-second': str(rate)}
+        upstream.statement_headers = {'takes-a-second': str(rate)}
     return observer, anyio.current_time()
 
 
@@ -87,7 +87,9 @@
 def test_an_upstream_gets_the_limit_that_it_names(rate):
     @in_world
     async def play(world):
-        upstreams = [await world.add_upstream(whole()) for _ in range(4)]
+        upstreams = [
+            await world.add_upstream(complete_response()) for _ in range(4)
+        ]
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
         observer, named_at = name_limit(upstreams[:1], rate)
         await call_all(observer, gateways, PLAYED)
@@ -107,7 +109,9 @@
 async def test_who_finds_no_room_is_told_when_there_is(world):
     """All that serve are limited, and the home ends in the midst of it."""
     rate = 3
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     async with ending_gateway(world) as (home, life):
         await wait_until(lambda: is_home(home))
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
@@ -130,9 +134,9 @@
 
 @in_world
 async def test_a_limit_that_is_taken_back_binds_no_more(world):
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     gateways = [await world.add_gateway() for _ in range(2)]
-    upstream.says = {'takes-a-second': '0.5'}
+    upstream.statement_headers = {'takes-a-second': '0.5'}
     lifetime = upstream.lifetime
     await ask(gateways[0], '/any/1', attempt='a')
     await wait_until(
@@ -140,7 +144,7 @@
     )
     refused = await ask(gateways[1], '/any/1', attempt='b')
     assert refused.status == 503
-    upstream.says = {}
+    upstream.statement_headers = {}
     statuses = []
     while 200 not in statuses:
         answer = await ask(gateways[1], '/any/1', attempt='c')
--- a/tests/test_gateway_needs.py
+++ b/tests/test_gateway_needs.py
@@ -22,7 +22,7 @@
     home.needs = {'llm': 12.5}
     await wait_until(lambda: NEEDS_KEY in world.store.items)
     for lease in list(world.store.leases):
-        world.store.end(lease)
+        world.store.end_lease(lease)
     home.draining_since = home.timers.now()
     other = await world.add_gateway()
     await wait_until(lambda: other.tenure is not None)
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -3,11 +3,11 @@
 import anyio
 from gateway_world import World, ask, dial, in_world, read_answer, request_bytes
 from spanfall_standins.gateway.upstream import (
+    complete_response,
     in_turn,
     raw,
     refused,
     silent,
-    whole,
 )
 from support import wait_until
 
@@ -19,15 +19,15 @@
 
 def runs(world: World) -> int:
     """Return how many requests reached upstreams."""
-    return sum(len(row.seen) for row in world.upstreams.values())
+    return sum(len(row.received_requests) for row in world.upstreams.values())
 
 
 @in_world
 async def test_an_answer_comes_back_unchanged(world):
-    upstream = await world.add_upstream(whole(201, b'sheet'))
+    upstream = await world.add_upstream(complete_response(201, b'sheet'))
     state = await world.add_gateway()
     answer = await ask(state, '/once/7?x=1', body=b'work', left_ms='900')
-    seen = upstream.seen[0]
+    seen = upstream.received_requests[0]
     assert (answer.status, answer.body) == (201, b'sheet')
     assert answer.headers['signed'] == 'u-1.a1'
     assert (seen.method, seen.target, seen.body) == (
@@ -41,10 +41,10 @@
 
 @in_world
 async def test_what_only_nodes_set_is_dropped(world):
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
     await ask(state, '/once/7', workspace='other', lifetime_wanted='u-9')
-    headers = upstream.seen[0].headers
+    headers = upstream.received_requests[0].headers
     assert 'workspace' not in headers
     assert headers['lifetime-wanted'] == 'u-1'
 
@@ -64,7 +64,7 @@
 @in_world
 async def test_a_refusal_is_sent_to_another_upstream(world):
     await world.add_upstream(refused())
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     answers = [
         await ask(state, '/once/7', attempt=f'a{turn}') for turn in range(4)
@@ -93,8 +93,8 @@
 
 @in_world
 async def test_an_idempotent_request_is_sent_again(world):
-    await world.add_upstream(in_turn(raw(), whole()))
-    await world.add_upstream(in_turn(raw(), whole()))
+    await world.add_upstream(in_turn(raw(), complete_response()))
+    await world.add_upstream(in_turn(raw(), complete_response()))
     state = await world.add_gateway()
     first = await ask(state, '/any/7', attempt='a1')
     assert (first.status, runs(world)) == (502, 2)
@@ -104,7 +104,7 @@
 
 @in_world
 async def test_a_failure_of_the_upstream_is_passed_on(world):
-    await world.add_upstream(whole(500, b'broken'))
+    await world.add_upstream(complete_response(500, b'broken'))
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
     assert (answer.status, answer.body) == (500, b'broken')
@@ -114,7 +114,7 @@
 @in_world
 async def test_a_promise_without_its_mark_is_dropped(world):
     """An upstream that ran a request must not look as if it had not."""
-    await world.add_upstream(whole(503, b'busy'))
+    await world.add_upstream(complete_response(503, b'busy'))
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
     assert answer.status == 502
@@ -133,12 +133,14 @@
 async def test_bytes_after_an_answer_are_dropped(world):
     """The second answer on a connection is never taken for the next one's."""
     extra = WHOLE.replace(b'done', b'evil')
-    upstream = await world.add_upstream(in_turn(raw(WHOLE, extra), whole()))
+    upstream = await world.add_upstream(
+        in_turn(raw(WHOLE, extra), complete_response())
+    )
     state = await world.add_gateway()
     first = await ask(state, '/once/7', attempt='a1')
     second = await ask(state, '/once/7', attempt='a1')
     assert (first.body, second.body) == (b'done', b'done')
-    assert len(upstream.seen) == 2
+    assert len(upstream.received_requests) == 2
 
 
 @in_world
@@ -164,7 +166,7 @@
     state = await world.add_gateway()
     answer = await ask(state, '/short/7')
     assert answer.status == 504
-    await wait_until(lambda: bool(upstream.left))
+    await wait_until(lambda: bool(upstream.abandoned_requests))
 
 
 @in_world
@@ -173,9 +175,9 @@
     state = await world.add_gateway()
     stream = await dial(state.cfg.listen.callers)
     await stream.send(request_bytes('/once/7'))
-    await wait_until(lambda: bool(upstream.seen))
+    await wait_until(lambda: bool(upstream.received_requests))
     await stream.aclose()
-    await wait_until(lambda: bool(upstream.left))
+    await wait_until(lambda: bool(upstream.abandoned_requests))
     await wait_until(lambda: state.open_requests == 0)
 
 
@@ -187,12 +189,12 @@
     state = await world.add_gateway()
     answers = [await ask(state, '/once/7') for _ in range(2)]
     assert [row.status for row in answers] == [503, 503]
-    assert len(upstream.seen) == 1
+    assert len(upstream.received_requests) == 1
 
 
 @in_world
 async def test_a_kept_connection_carries_many_requests(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     stream = await dial(state.cfg.listen.callers)
     async with stream:
@@ -228,7 +230,7 @@
 @in_world
 async def test_limits_of_the_configuration_in_force(world):
     world.configure(body_bytes=100, header_bytes=300)
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     large = await ask(state, '/once/7', body=b'x' * 101)
     long = await ask(state, '/once/7', filler='y' * 400)
--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -19,7 +19,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_store_restore import let_leave
 from test_gateway_succession import is_home
@@ -82,7 +82,9 @@
         workspaces = [PlainWorkspace('w', ['k'], 1e6, 1e6)]
         self.world.configure(workspaces=workspaces)
         for _ in range(UPSTREAMS):
-            self.upstreams.append(await self.world.add_upstream(whole()))
+            self.upstreams.append(
+                await self.world.add_upstream(complete_response())
+            )
         home = await self.world.add_ending_gateway(self.life, **BOUNDS)
         await wait_until(lambda: is_home(home))
         self.gateways.append(home)
@@ -143,7 +145,7 @@
         self.luck.shuffle(events)
         while not is_over(until):
             await anyio.sleep(self.luck.uniform(0.1, 1.0))
-            if self.world.store.failing:
+            if self.world.store.error_status:
                 continue
             self.world.configure()
             self.note_written(CONFIGURATION_KEY)
@@ -151,7 +153,7 @@
                 await events.pop()()
 
     async def _add_upstream(self):
-        newer = await self.world.add_upstream(whole())
+        newer = await self.world.add_upstream(complete_response())
         self.upstreams.append(newer)
         self.note_written(entry_key(newer))
 
@@ -168,13 +170,13 @@
         store = self.world.store
         while not is_over(until):
             await anyio.sleep(self.luck.uniform(1, 4))
-            store.failing = self.luck.choice((0, 503))
+            store.error_status = self.luck.choice((0, 503))
             await anyio.sleep(self.luck.uniform(0, LONGEST_OUTAGE))
             store.restore(self.luck.choice(self.copies))
             # Only copies of the new timeline are made from now on.
             self.copies.clear()
             self.copies.append(store.copy())
-            store.failing = 0
+            store.error_status = 0
             await anyio.sleep(self.luck.uniform(0, WRITTEN_AGAIN))
             self.write_again()
 
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -21,7 +21,7 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.orders.orders import count_present
 from spanfall_standins.gateway.dialect import UPSTREAM_PREFIX
-from spanfall_standins.gateway.upstream import raw, refused, whole
+from spanfall_standins.gateway.upstream import complete_response, raw, refused
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
 
@@ -73,11 +73,13 @@
 
     @in_world
     async def play(world):
-        upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+        upstreams = [
+            await world.add_upstream(complete_response()) for _ in range(2)
+        ]
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
         leaver = Leaver(upstreams[0])
-        world.store.failing = failing
-        upstreams[0].says = LEAVING
+        world.store.error_status = failing
+        upstreams[0].statement_headers = LEAVING
         await leaver.call(gateways, 2 * DRAIN)
         assert leaver.passed_on
         assert not leaver.late()
@@ -93,12 +95,14 @@
 @in_world
 async def test_all_nodes_know_what_one_heard(world):
     """A new home too, and those who start later; its entry says ready."""
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     left = {upstreams[1].lifetime}
     async with ending_gateway(world) as (home, life):
         await wait_until(lambda: is_home(home))
         others = [await world.add_gateway() for _ in range(2)]
-        upstreams[0].says = LEAVING
+        upstreams[0].statement_headers = LEAVING
         await hear_once(others[0], upstreams[0])
         await wait_until(
             lambda: all(serving(one) == left for one in (home, *others)),
@@ -107,46 +111,46 @@
     await wait_until(lambda: any(is_home(state) for state in others))
     late = await world.add_gateway()
     await wait_until(lambda: serving(late) == left)
-    before = len(upstreams[0].seen)
+    before = len(upstreams[0].received_requests)
     statuses = [
         (await ask(state, '/any/1', attempt=f'l{number}')).status
         for number, state in enumerate((*others, late))
     ]
     assert statuses == [200, 200, 200]
-    assert len(upstreams[0].seen) == before
+    assert len(upstreams[0].received_requests) == before
 
 
 async def hear_once(state, upstream):
     """Send requests to an entry until one has reached an upstream."""
-    before = len(upstream.seen)
+    before = len(upstream.received_requests)
     number = 0
-    while len(upstream.seen) == before:
+    while len(upstream.received_requests) == before:
         number += 1
         await ask(state, '/any/1', attempt=f'h{number}')
 
 
 @in_world
 async def test_the_last_one_that_leaves_gets_nothing(world):
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
-    upstream.says = LEAVING
+    upstream.statement_headers = LEAVING
     first = await ask(state, '/any/1', attempt='a')
     second = await ask(state, '/any/1', attempt='b')
     assert (first.status, second.status) == (200, 503)
-    assert len(upstream.seen) == 1
+    assert len(upstream.received_requests) == 1
 
 
 @in_world
 async def test_another_lifetime_there_is_served(world):
     """What one lifetime said does not hold for the next at its address."""
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
-    upstream.says = LEAVING
+    upstream.statement_headers = LEAVING
     await ask(state, '/any/1', attempt='a')
     row = state.directory.rows[upstream.lifetime]
     world.let_lapse(upstream)
     await wait_until(lambda: not state.directory.rows)
-    upstream.says = {}
+    upstream.statement_headers = {}
     entry = msgspec.json.encode(replace(row, born=2, said_leaving=False))
     world.store.put(f'{UPSTREAM_PREFIX}{upstream.lifetime}', entry.decode())
     await wait_until(lambda: bool(serving(state)))
@@ -156,7 +160,7 @@
 
 @pytest.mark.parametrize(
     'behaviour',
-    (whole(500), refused(), raw(BROKEN_OFF), raw(OTHERS_ANSWER)),
+    (complete_response(500), refused(), raw(BROKEN_OFF), raw(OTHERS_ANSWER)),
 )
 def test_the_word_counts_however_the_answer_ends(behaviour):
     """A failure, a refusal, one that breaks off, one to another request."""
@@ -165,7 +169,7 @@
     async def play(world):
         upstream = await world.add_upstream(behaviour)
         state = await world.add_gateway()
-        upstream.says = LEAVING
+        upstream.statement_headers = LEAVING
         await ask(state, '/any/1', attempt='a')
         assert not serving(state)
 
--- a/tests/test_gateway_slow_signs.py
+++ b/tests/test_gateway_slow_signs.py
@@ -11,8 +11,8 @@
 from gateway_world import ask, in_world
 from spanfall_core.gateway.crashes.crashes import Standing
 from spanfall_core.gateway.known.identity import request_identity
-from spanfall_standins.gateway.server import AfterEnd
-from spanfall_standins.gateway.upstream import ends_under, whole
+from spanfall_standins.gateway.server import AfterExit
+from spanfall_standins.gateway.upstream import complete_response, crashes_on
 from support import wait_until
 
 DEADLY = b'deadly'
@@ -26,7 +26,11 @@
 
 def ended(world):
     """Return the upstreams whose processes have ended."""
-    return [row for row in world.upstreams.values() if row.life.cancel_called]
+    return [
+        row
+        for row in world.upstreams.values()
+        if row.process_scope.cancel_called
+    ]
 
 
 def standing(state, path):
@@ -48,12 +52,14 @@
 
 
 @pytest.mark.parametrize('path', ('/resume/1', '/any/1', '/once/1'))
-@pytest.mark.parametrize('after_end', (AfterEnd.CLOSES, AfterEnd.SILENT))
-def test_slow_signs_end_three_upstreams(path, after_end):
+@pytest.mark.parametrize('after_end', (AfterExit.CLOSES, AfterExit.SILENT))
+def test_slow_signs_end_three_upstreams(path, after_exit):
     @in_world
     async def play(world):
         for _ in range(9):
-            await world.add_upstream(ends_under(DEADLY, whole()), after_end)
+            await world.add_upstream(
+                crashes_on(DEADLY, complete_response()), after_exit
+            )
         gateways = [await world.add_gateway() for _ in range(2)]
         await send_again_and_again(gateways, path)
         assert len(ended(world)) == KNOWN_AFTER
--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -19,7 +19,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 #: Seconds within which a change is to be in force, as the platform asks.
@@ -62,16 +62,18 @@
 # Guards against a listing left out since its revision is a lower one.
 @in_world
 async def test_one_that_leaves_after_a_restore(world):
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     gateways = await restored_gateways(world)
     world.configure(body_bytes=12)
     let_leave(world, upstreams[0])
     await anyio.sleep(DRAINED)
-    before = len(upstreams[0].seen)
+    before = len(upstreams[0].received_requests)
     for number, state in enumerate(gateways * 4):
         answer = await ask(state, '/any/1', attempt=f'a{number}')
         assert answer.status == 200
-    assert len(upstreams[0].seen) == before
+    assert len(upstreams[0].received_requests) == before
 
 
 def let_leave(world, upstream):
@@ -93,7 +95,9 @@
 # Guards against a copy that takes back what an upstream has written.
 @in_world
 async def test_one_that_left_before_a_restore(world):
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     gateways = [await world.add_gateway() for _ in range(2)]
     copy = world.store.copy()
     let_leave(world, upstreams[0])
@@ -109,9 +113,9 @@
 # yet, though no call to the store has failed.
 @in_world
 async def test_one_that_a_copy_does_not_name(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     copy = world.store.copy()
-    newer = await world.add_upstream(whole())
+    newer = await world.add_upstream(complete_response())
     gateways = [await world.add_gateway() for _ in range(2)]
     key = f'{UPSTREAM_PREFIX}{newer.lifetime}'
     entry = world.store.items[key].content
@@ -128,15 +132,15 @@
 async def test_a_key_taken_away_before_a_restore(world):
     workspace = PlainWorkspace('w', ['k'])
     world.configure(workspaces=[workspace])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway(revoke_seconds=REVOKED)
     copy = world.store.copy()
-    world.store.failing = 503
+    world.store.error_status = 503
     version = world.configure(workspaces=[replace_keys(workspace)])
     lost = world.store.items[CONFIGURATION_KEY].content
     await wait_until(lambda: not serves_keys(state))
     world.store.restore(copy)
-    world.store.failing = 0
+    world.store.error_status = 0
     answers = [await ask_with_key(state, number) for number in range(15)]
     assert {answer.status for answer in answers} == {503}
     world.store.put(CONFIGURATION_KEY, lost)
@@ -148,10 +152,10 @@
 @in_world
 async def test_no_change_before_a_restore(world):
     state = await world.add_gateway(revoke_seconds=REVOKED)
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not serves_keys(state))
     world.store.restore(world.store.copy())
-    world.store.failing = 0
+    world.store.error_status = 0
     restored_at = state.timers.now()
     await wait_until(lambda: serves_keys(state))
     waited = state.timers.now() - restored_at
@@ -203,7 +207,7 @@
 # Guards against a list whose pages are from before and after a restore.
 @in_world
 async def test_a_restore_between_two_pages(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     async with store_client(world) as store:
         await store.list_items('x')
         read_page = store._page
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -36,10 +36,13 @@
     second = await world.add_upstream(resumable(4, breaks_after=2))
     state = await world.add_gateway()
     answer = await ask(state, '/resume/7')
-    resumed = [*first.seen, *second.seen]
+    resumed = [*first.received_requests, *second.received_requests]
     assert (answer.complete, answer.body) == (True, text_of(1, 4))
     assert {row.headers.get('last-event-id') for row in resumed} == {None, '2'}
-    assert (len(first.seen), len(second.seen)) == (1, 1)
+    assert (len(first.received_requests), len(second.received_requests)) == (
+        1,
+        1,
+    )
 
 
 def test_events_split_at_any_byte():
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -18,7 +18,7 @@
 from spanfall_node.gateway.tables.new_state import build_state
 from spanfall_node.gateway.tables.tenure import home_key
 from spanfall_standins.gateway.dialect import PlainWorkspace
-from spanfall_standins.gateway.server import answer_bytes, start_server
+from spanfall_standins.gateway.server import encode_response, start_server
 from support import wait_until
 
 #: A lease that outlasts any test.
@@ -34,7 +34,7 @@
 
     async def answer(self, seen, stream):
         if self.is_shut:
-            await stream.send(answer_bytes(503, b''))
+            await stream.send(encode_response(503, b''))
             return True
         return await self._store.answer(seen, stream)
 
@@ -65,7 +65,7 @@
 
 @in_world
 async def test_a_home_without_the_store_hands_over(world):
-    world.store.least_lease_ms = LONG_LEASE_SECONDS * 1000
+    world.store.min_lease_ms = LONG_LEASE_SECONDS * 1000
     gate = Gate(world.store)
     settings = {'least_lease_seconds': LONG_LEASE_SECONDS}
     home = await add_gated(world, gate, **settings)
@@ -106,7 +106,7 @@
     other = await world.add_gateway()
     await wait_until(lambda: other.home_heard_at > 0)
     calls = other.counters.registry.get_sample_value
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: home.tenure.is_cut)
     await wait_until(
         lambda: calls('spanfall_store_calls_total', {'outcome': '503'}),
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -22,7 +22,7 @@
 )
 from spanfall_node.gateway.tables.counters import Counters
 from spanfall_standins.gateway.dialect import PlainWorkspace
-from spanfall_standins.gateway.upstream import refused, whole
+from spanfall_standins.gateway.upstream import complete_response, refused
 from support import run_async, wait_until
 
 LIMITS = {'w': Limit(rate=1, burst=100, window=8)}
@@ -137,7 +137,7 @@
 
     The pool may fall below nothing for one request.
     """
-    _, other = await two_entries(world, whole())
+    _, other = await two_entries(world, complete_response())
     answers = []
     for _ in range(TRIES):
         answers += await statuses(other, 1)
@@ -162,7 +162,7 @@
 @in_world
 async def test_the_record_ends_with_the_pressure(world):
     """A record that stayed would hold for a home much later."""
-    _, other = await two_entries(world, whole())
+    _, other = await two_entries(world, complete_response())
     assert SPENDING_KEY not in world.store.items
     await statuses(other, MOST)
     await wait_until(lambda: sum(recorded(world).get('w', ())) > MOST / 2)
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -11,7 +11,7 @@
     UsageRecord,
 )
 from spanfall_standins.gateway.dialect import PlainWorkspace
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_store_restore import store_client
 from test_gateway_succession import ending_gateway, is_home
@@ -45,7 +45,7 @@
 
 async def served_world(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
 
 
 # Guards against a window that is reported again with other counts, since the
--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -16,7 +16,7 @@
 from arrivals import arrived_after, note_arrivals
 from gateway_world import ask, in_world
 from named_limit_checker import SPAN, TOLD_AFTER, allowed
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_succession import is_home
 
@@ -51,9 +51,9 @@
 
     def name(self, rate):
         self.named.append((anyio.current_time(), rate))
-        self.upstream.says.pop('takes-a-second', None)
+        self.upstream.statement_headers.pop('takes-a-second', None)
         if rate is not None:
-            self.upstream.says['takes-a-second'] = str(rate)
+            self.upstream.statement_headers['takes-a-second'] = str(rate)
 
     def passes_limit(self, end):
         """Tell whether the span that ends at a time holds too much."""
@@ -93,7 +93,7 @@
 
     async def start(self):
         for _ in range(UPSTREAMS):
-            upstream = await self.world.add_upstream(whole())
+            upstream = await self.world.add_upstream(complete_response())
             self.watched[upstream.lifetime] = Watched(upstream)
         home = await self.world.add_ending_gateway(self.life)
         self.gateways.append(home)
@@ -146,7 +146,7 @@
             one.name(self.luck.choice((None, *RATES, *RATES)))
 
     async def _leave(self, one):
-        one.upstream.says['leaves'] = '1'
+        one.upstream.statement_headers['leaves'] = '1'
 
     async def _end_home(self):
         self.gateways.pop(0)
