--- a/packages/spanfall-standins/src/spanfall_standins/gateway/__init__.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for a platform: its store, cloud API and upstreams, on loopback."""
+"""Simulate a platform on loopback: its store, cloud API and upstreams."""
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/dialect.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Speak the dialect of the stand-in platform: plain JSON, short names."""
+"""Adapt the test platform, which uses plain JSON with short names."""
 
 from urllib.parse import urlencode
 
@@ -51,14 +51,14 @@
 
 
 class PlainShare(msgspec.Struct):
-    """Give a service its part of a route."""
+    """Decode the weight of one service in a route."""
 
     service: str
     weight: int = 1
 
 
 class PlainRoute(msgspec.Struct):
-    """Describe a route; times in seconds."""
+    """Decode one route; times are in seconds."""
 
     name: str
     host: str
@@ -73,7 +73,7 @@
 
 
 class PlainWorkspace(msgspec.Struct):
-    """Describe a workspace."""
+    """Decode one workspace."""
 
     name: str
     keys: list[str]
@@ -82,17 +82,17 @@
 
 
 class PlainService(msgspec.Struct):
-    """Describe a service; with a size, its upstreams may be ordered."""
+    """Decode one service; ``most`` > 0 enables scaling up to that number."""
 
     name: str
     most: int = 0
 
 
 class PlainConfiguration(msgspec.Struct):
-    """Describe a whole configuration."""
+    """Decode a complete configuration."""
 
     routes: list[PlainRoute]
-    #: Rises with each change.
+    #: Increases with each change.
     version: int = 0
     services: list[PlainService] = []
     workspaces: list[PlainWorkspace] = []
@@ -103,7 +103,7 @@
 
 
 class PlainItem(msgspec.Struct):
-    """Carry one item of the store; contents are text."""
+    """Represent one item of the store; its content is text."""
 
     key: str
     content: str
@@ -113,14 +113,14 @@
 
 
 class PlainPage(msgspec.Struct):
-    """Carry all items below a prefix."""
+    """Represent all items under a prefix."""
 
     items: list[PlainItem]
     revision: int
 
 
 class PlainTransaction(msgspec.Struct):
-    """Carry a conditional write."""
+    """Represent a conditional write."""
 
     expected: dict[str, int]
     writes: list[tuple[str, str, int]]
@@ -245,7 +245,7 @@
 
 
 class PlainUsage(msgspec.Struct):
-    """Carry the usage of one window."""
+    """Encode the usage of one window."""
 
     holder: str
     token: int
@@ -254,7 +254,7 @@
 
 
 class PlainOrder(msgspec.Struct):
-    """Carry an order of upstreams."""
+    """Encode an order of upstreams."""
 
     holder: str
     token: int
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/server.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP so that a test decides on each byte that goes back."""
+"""Serve HTTP for tests, whose handlers write the raw response bytes."""
 
 import socket
 from collections.abc import Awaitable, Callable, Iterator
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """Hold a request as it arrived."""
+    """Represent a request as received."""
 
     method: str
     target: str
@@ -21,22 +21,24 @@
     body: bytes
 
 
-#: Connections that fill a queue of none: the system lets one in besides.
+#: Connections that fill the queue of a listener with a backlog of 0: the
+#: kernel admits one more than the backlog.
 BACKLOG_CONNECTIONS = 2
 
-#: Answer a request on its stream; False closes the connection.
+#: Writes the response to a request to its stream; returns False to close the
+#: connection.
 RequestHandler = Callable[[ReceivedRequest, SocketStream], Awaitable[bool]]
 
 
 @unique
 class AfterExit(StrEnum):
-    """Name what the address of a process does once the process has ended."""
+    """Define how the address of a process behaves after the process exits."""
 
-    #: Nothing listens there.
+    #: Nothing listens: connections are refused.
     REFUSES = 'refuses'
-    #: A supervisor holds the port: it takes connections and closes them.
+    #: A supervisor keeps the port open, accepts connections and closes them.
     CLOSES = 'closes'
-    #: The host went too: open connections stay open, new ones get no answer.
+    #: The host fails too: open connections stay open and new ones time out.
     SILENT = 'silent'
 
 
@@ -48,8 +50,8 @@
 ) -> str:
     """Start a server on a free loopback port and return its address.
 
-    ``life`` is cancelled as its process ends; what the address does from then
-    on is told by ``after_end``.
+    Cancelling ``process_scope`` simulates the exit of the process;
+    ``after_exit`` selects how the address behaves from then on.
     """
     multi_listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
     listener: SocketListener = multi_listener.listeners[0]
@@ -67,7 +69,7 @@
         await listener.aclose()
 
     async def serve_or_hang(stream: SocketStream) -> None:
-        # A host without power closes nothing.
+        # A host that loses power closes none of its connections.
         await _serve_connection(stream, handle_request, scope)
 
     async def run_on_failing_host() -> None:
@@ -88,7 +90,7 @@
 
 @contextmanager
 def _silent_port(port: int) -> Iterator[None]:
-    """Let a port answer no opening packet: its queue is full."""
+    """Keep a port from answering SYN packets by filling its accept queue."""
     with ExitStack() as stack:
         sock = stack.enter_context(socket.socket())
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -106,7 +108,7 @@
     handle_request: RequestHandler,
     process_scope: anyio.CancelScope | None = None,
 ) -> None:
-    """Serve a connection; one of a host that went stays as it is."""
+    """Serve a connection; keep it open and idle if the host has failed."""
     try:
         async with stream:
             await _serve_requests(stream, handle_request)
@@ -126,7 +128,7 @@
 
 
 async def read_request(stream: SocketStream) -> ReceivedRequest | None:
-    """Return the next request, or None when the client closed."""
+    """Return the next request, or None if the client closed the connection."""
     protocol = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
     chunks: list[bytes] = []
@@ -163,7 +165,7 @@
     body: bytes,
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Return a whole answer."""
+    """Return the bytes of a complete response."""
     rows = {'content-length': str(len(body)), **(headers or {})}
     lines = [f'{name}: {text}\r\n' for name, text in rows.items()]
     head = f'HTTP/1.1 {status} X\r\n{"".join(lines)}\r\n'
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/store.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store, with faults on demand."""
+"""Simulate the platform's store in memory, with fault injection."""
 
 from collections.abc import Callable
 from copy import deepcopy
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """Hold what a store held at one moment."""
+    """Represent a snapshot of the store."""
 
     items: dict[str, PlainItem]
     leases: dict[int, tuple[float, float]]
@@ -28,30 +28,30 @@
 
 @dataclass(slots=True)
 class StandInStore:
-    """Hold the items; time comes from the test."""
+    """Store items in memory; the test supplies the clock."""
 
     clock: Callable[[], float]
     items: dict[str, PlainItem] = field(default_factory=dict)
     leases: dict[int, tuple[float, float]] = field(default_factory=dict)
     revision: int = 0
-    #: Rises as the store is restored from a copy.
+    #: Incremented each time the store is restored from a snapshot.
     timeline: int = 0
-    #: Status that every call gets instead of an answer; 0: none.
+    #: HTTP status returned for every call instead of serving it; 0: disabled.
     error_status: int = 0
     min_lease_ms: int = 0
-    #: Whether writes are done and their answers lost.
+    #: Whether writes are applied but their responses are dropped.
     drops_responses: bool = False
     calls: list[str] = field(default_factory=list)
 
     @property
     def listings(self) -> int:
-        """Return how often items were listed or were to be."""
+        """Return the number of list calls, including failed ones."""
         return sum(target.startswith('/items?') for target in self.calls)
 
     async def answer(
         self, request: ReceivedRequest, stream: SocketStream
     ) -> bool:
-        """Answer one call."""
+        """Answer one call, applying the configured faults."""
         self.calls.append(request.target)
         if self.error_status:
             await stream.send(self._encode(self.error_status, b''))
@@ -68,11 +68,11 @@
         return encode_response(status, body, headers)
 
     def copy(self) -> StoreCopy:
-        """Return a copy of all that the store holds now."""
+        """Return a snapshot of the store."""
         return deepcopy(StoreCopy(self.items, self.leases, self.revision))
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone."""
+        """Restore a snapshot; writes made since are lost."""
         restored = deepcopy(copy)
         self.items = restored.items
         self.leases = restored.leases
@@ -80,13 +80,13 @@
         self.timeline += 1
 
     def put(self, key: str, content: str, lease: int = 0) -> int:
-        """Write an item."""
+        """Write an item and return the new revision."""
         self.revision += 1
         self._set(key, content, lease)
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove an item."""
+        """Remove an item; the revision increases."""
         self.revision += 1
         self.items.pop(key, None)
 
@@ -165,7 +165,7 @@
             self.end_lease(lease)
 
     def end_lease(self, lease: int) -> None:
-        """End a lease and remove its items."""
+        """End a lease and remove the items attached to it."""
         self.leases.pop(lease)
         held = [key for key, row in self.items.items() if row.lease == lease]
         for key in held:
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/upstream.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Stand in for an upstream that answers as a test tells it to."""
+"""Simulate an upstream with configurable responses."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 from spanfall_standins.gateway.server import ReceivedRequest, encode_response
 
-#: Answer one request; False closes the connection.
+#: Answers one request; returns False to close the connection.
 Behaviour = Callable[
     ['StandInUpstream', ReceivedRequest, SocketStream], Awaitable[bool]
 ]
@@ -21,27 +21,27 @@
 
 @dataclass(slots=True)
 class StandInUpstream:
-    """Hold what an upstream has seen and how it answers next."""
+    """Record the requests to an upstream and answer with a behaviour."""
 
     lifetime: str
     behaviour: Behaviour
     received_requests: list[ReceivedRequest] = field(default_factory=list)
-    #: Requests whose client closed before the answer was whole.
+    #: Requests whose client disconnected before the response was complete.
     abandoned_requests: list[ReceivedRequest] = field(default_factory=list)
-    #: What it says of itself in all its answers, as headers.
+    #: Headers with its statement about itself, sent with every response.
     statement_headers: dict[str, str] = field(default_factory=dict)
-    #: Cancelled as the upstream's process ends.
+    #: Cancelled when the upstream's process exits.
     process_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     async def answer(
         self, request: ReceivedRequest, stream: SocketStream
     ) -> bool:
-        """Answer one request."""
+        """Answer one request with the current behaviour."""
         self.received_requests.append(request)
         return await self.behaviour(self, request, stream)
 
     def response_headers(self, request: ReceivedRequest) -> dict[str, str]:
-        """Return the headers that mark an answer as this upstream's."""
+        """Return the signature and the statement headers of a response."""
         attempt = request.headers.get('attempt', '')
         signature = f'{self.lifetime}.{attempt}'
         return {
@@ -52,7 +52,7 @@
 
 
 def complete_response(status: int = 200, body: bytes = b'done') -> Behaviour:
-    """Answer whole."""
+    """Answer each request with a complete response."""
 
     async def run(
         upstream: StandInUpstream,
@@ -68,7 +68,7 @@
 
 
 def crashes_on(crashing_body: bytes, other_behaviour: Behaviour) -> Behaviour:
-    """End the upstream's process as it begins to run a request."""
+    """Crash the upstream when it starts to run a request with a given body."""
 
     async def run(
         upstream: StandInUpstream,
@@ -89,7 +89,7 @@
 
 
 def refused(status: int = 503) -> Behaviour:
-    """Say that the request was not run."""
+    """Refuse each request and mark it as not run."""
 
     async def run(
         upstream: StandInUpstream,
@@ -104,7 +104,10 @@
 
 
 def raw(*pieces: bytes, keep: bool = False) -> Behaviour:
-    """Send bytes as they are; ``{id}`` becomes the attempt's id."""
+    """Send raw bytes, replacing ``{id}`` by the id of the attempt.
+
+    ``keep`` keeps the connection open afterwards.
+    """
 
     async def run(
         upstream: StandInUpstream,
@@ -120,7 +123,7 @@
 
 
 def silent() -> Behaviour:
-    """Never answer; note when the client leaves."""
+    """Never answer; record the request when its client disconnects."""
 
     async def run(
         upstream: StandInUpstream,
@@ -137,7 +140,10 @@
 
 
 def events(first: int, last: int, *, ends: bool = True) -> Behaviour:
-    """Send events with ids ``first`` to ``last``, or break off inside one."""
+    """Send events with ids ``first`` to ``last``.
+
+    Without ``ends``, the stream breaks off in the middle of one more event.
+    """
 
     async def run(
         upstream: StandInUpstream,
@@ -160,9 +166,10 @@
 
 
 def resumable(last: int, breaks_after: int) -> Behaviour:
-    """Go on after the last event that the caller has.
+    """Resume the stream after the event in the last-event-id header.
 
-    A run from the start breaks off inside the event after ``breaks_after``.
+    A stream that starts from the beginning breaks off in the middle of the
+    event after ``breaks_after``.
     """
 
     async def run(
@@ -180,12 +187,12 @@
 
 
 def chunk(content: bytes) -> bytes:
-    """Return one chunk of a chunked body."""
+    """Encode one chunk of a chunked body."""
     return b'%x\r\n%s\r\n' % (len(content), content)
 
 
 def in_turn(*behaviours: Behaviour) -> Behaviour:
-    """Answer the first request the first way, and so on; then the last."""
+    """Use one behaviour per request in order; repeat the last one."""
     remaining = list(behaviours)
 
     async def run(
