--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -115,7 +115,7 @@
     async def add_upstream(
         self,
         behaviour: Behaviour,
-        after_exit: AfterExit = AfterExit.REFUSES,
+        after_end: AfterExit = AfterExit.REFUSES,
     ) -> StandInUpstream:
         """Start an upstream and list it."""
         lifetime = f'u-{next(self._numbers)}'
@@ -124,7 +124,7 @@
             self.tasks,
             upstream.answer,
             upstream.process_scope,
-            after_exit,
+            after_end,
         )
         row = ListedUpstream(lifetime, SERVICE, address, 'north', slots=4)
         encoded = msgspec.json.encode(row).decode()
--- a/tests/test_gateway_slow_signs.py
+++ b/tests/test_gateway_slow_signs.py
@@ -53,12 +53,12 @@
 
 @pytest.mark.parametrize('path', ('/resume/1', '/any/1', '/once/1'))
 @pytest.mark.parametrize('after_end', (AfterExit.CLOSES, AfterExit.SILENT))
-def test_slow_signs_end_three_upstreams(path, after_exit):
+def test_slow_signs_end_three_upstreams(path, after_end):
     @in_world
     async def play(world):
         for _ in range(9):
             await world.add_upstream(
-                crashes_on(DEADLY, complete_response()), after_exit
+                crashes_on(DEADLY, complete_response()), after_end
             )
         gateways = [await world.add_gateway() for _ in range(2)]
         await send_again_and_again(gateways, path)
