--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -7,7 +7,7 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.routing.balance import choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import FleetLoads, Grant
 
 from spanfall_node.gateway.links.messages import GrantMessage, GrantRequest
@@ -43,7 +43,7 @@
     if standing in NOT_SENT:
         return GrantMessage(number, standing=standing)
     if not request.ask.tried:
-        state.grant_book.asked[request.service] += 1
+        state.grant_book.first_attempts[request.service] += 1
     serving = state.directory.serving(request.service)
     withheld = _withheld(state, now)
     candidates = serving
@@ -91,7 +91,9 @@
     return HOMELESS_SECONDS
 
 
-def is_any_limited(state: GatewayState, service: str, ask: Ask) -> bool:
+def is_any_limited(
+    state: GatewayState, service: str, ask: RoutingRequest
+) -> bool:
     """Tell whether room at an upstream with a limit would serve a request."""
     limited = state.words.table.rates
     closed = ask.tried | ask.avoided
@@ -131,7 +133,7 @@
     withheld: AbstractSet[Lifetime],
 ) -> Grant | None:
     now = state.timers.now()
-    state.granted_prompts.learn(request.ask, now)
+    state.granted_prompts.record_prompt(request.ask, now)
     choice = choose(
         candidates,
         request.ask,
@@ -145,7 +147,7 @@
     lifetime = choice.upstream.lifetime
     is_permit = state.words.permits.take(lifetime, now)
     prefixes = state.granted_prompts.prefixes
-    prefixes.remember(lifetime, request.ask.parts)
+    prefixes.record(lifetime, request.ask.parts)
     grant = Grant(
         number,
         lifetime,
