--- a/packages/spanfall-node/src/spanfall_node/gateway/callers/callers.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/callers/callers.py
@@ -6,9 +6,9 @@
 from anyio.abc import SocketStream
 from spanfall_core.reasons import RefusalReason
 
-from spanfall_node.gateway.limits.unit_requests import UnitRequests
+from spanfall_node.gateway.limits.unit_requests import UnitClient
 from spanfall_node.gateway.net.errors import BadRequestError, CallerGoneError
-from spanfall_node.gateway.requests.admission import Work, admit
+from spanfall_node.gateway.requests.admission import AdmittedRequest, admit
 from spanfall_node.gateway.requests.caller_connection import (
     CallerConnection,
     CallerRequest,
@@ -26,14 +26,14 @@
 
 #: Seconds after the signal to stop in which new requests are still served:
 #: until the balancer has noticed and its connections have gone elsewhere.
-SERVE_WHILE_STOPPING = 3.0
+DRAIN_GRACE_SECONDS = 3.0
 #: Longest time that a request waits for the first configuration, or for
 #: units that the home has left: most of a report's period, and under half of
 #: any target. A refused request comes back later than that, or never.
-MOST_ADMIT_SECONDS = 0.12
-ADMIT_STEP = 0.02
+MAX_ADMISSION_WAIT_SECONDS = 0.12
+ADMISSION_POLL_SECONDS = 0.02
 #: Seconds after which a caller refused by a stopping node may come back.
-STOPPING_RETRY = 0.05
+DRAINING_RETRY_SECONDS = 0.05
 
 _BAD_REQUESTS = {
     413: RefusalReason.BODY_TOO_LARGE,
@@ -48,7 +48,7 @@
         self,
         state: GatewayState,
         access: UpstreamAccess,
-        units: UnitRequests,
+        units: UnitClient,
     ) -> None:
         """Use the tables of the node, its ways to upstreams and to units."""
         self._state = state
@@ -79,13 +79,13 @@
             caller = self._connections.get(key)
             if caller is not None:
                 caller.gone = True
-                await caller.close_at_once()
+                await caller.abort()
 
     async def _close(self, caller: CallerConnection) -> None:
         if caller.gone:
-            await caller.close_at_once()
+            await caller.abort()
         else:
-            await caller.close_politely()
+            await caller.close_gracefully()
 
     async def _serve_requests(self, caller: CallerConnection) -> None:
         while True:
@@ -136,17 +136,17 @@
         body: bytes,
         began_at: float,
     ) -> None:
-        self._check_stopping(caller)
-        work = await self._admit(req, body, began_at)
-        self._note_admitted(work)
-        await self._serve_watched(caller, work)
+        self._check_draining(caller)
+        admitted = await self._admit(req, body, began_at)
+        self._record_admitted(admitted)
+        await self._serve_until_disconnect(caller, admitted)
 
     async def _admit(
         self,
         req: CallerRequest,
         body: bytes,
         began_at: float,
-    ) -> Work:
+    ) -> AdmittedRequest:
         """Admit a request, or wait a moment for what is about to come.
 
         Raises:
@@ -158,85 +158,89 @@
                 return admit(state, req, body, began_at)
             except RefusedError as exc:
                 waited = state.timers.now() - began_at
-                if not exc.may_pass or waited >= MOST_ADMIT_SECONDS:
+                if not exc.is_transient or waited >= MAX_ADMISSION_WAIT_SECONDS:
                     raise
                 refusal = exc
-            if not await self._obtain(refusal):
-                await anyio.sleep(ADMIT_STEP)
+            if not await self._obtain_missing(refusal):
+                await anyio.sleep(ADMISSION_POLL_SECONDS)
 
-    async def _obtain(self, refusal: RefusedError) -> bool:
+    async def _obtain_missing(self, refusal: RefusedError) -> bool:
         """Get what a request lacks from the home; tell whether it came."""
         if not isinstance(refusal, UnitsMissingError):
             return False
         return await self._units.obtain(refusal.workspace, refusal.units)
 
-    async def _serve_watched(
+    async def _serve_until_disconnect(
         self,
         caller: CallerConnection,
-        work: Work,
+        admitted: AdmittedRequest,
     ) -> None:
         """Serve a request; stop as soon as the caller has left."""
         refusals: list[RefusedError] = []
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch, caller, tasks.cancel_scope)
+            tasks.start_soon(
+                self._cancel_on_disconnect, caller, tasks.cancel_scope
+            )
             try:
-                await serve(self._state, self._access, work, caller)
+                await serve(self._state, self._access, admitted, caller)
             except RefusedError as exc:
                 refusals.append(exc)
             except CallerGoneError:
                 caller.gone = True
             tasks.cancel_scope.cancel()
         if refusals:
-            self._give_back(work, refusals[0])
+            self._return_units(admitted, refusals[0])
             raise refusals[0]
         if caller.gone:
             raise CallerGoneError
 
-    async def _watch(
+    async def _cancel_on_disconnect(
         self,
         caller: CallerConnection,
         scope: anyio.CancelScope,
     ) -> None:
-        await caller.watch_leaving()
+        await caller.wait_for_disconnect()
         scope.cancel()
 
-    def _give_back(self, work: Work, refusal: RefusedError) -> None:
-        if refusal.status != 503 or work.workspace is None:
+    def _return_units(
+        self, admitted: AdmittedRequest, refusal: RefusedError
+    ) -> None:
+        if refusal.status != 503 or admitted.workspace is None:
             return
         state = self._state
         now = state.timers.now()
-        workspace = work.workspace.name
+        workspace = admitted.workspace.name
         limit = state.limits_at(now).get(workspace)
         if limit is None:
             return
-        state.counters.units_returned.labels(workspace).inc(work.units)
+        state.counters.units_returned.labels(workspace).inc(admitted.units)
         state.quotas.give_back(
             workspace,
             limit,
-            work.units,
-            work.began_at,
+            admitted.units,
+            admitted.began_at,
             now,
         )
 
-    def _check_stopping(self, caller: CallerConnection) -> None:
+    def _check_draining(self, caller: CallerConnection) -> None:
         state = self._state
         if state.draining_since is None:
             return
         caller.closing = True
         stopping = state.timers.now() - state.draining_since
-        if stopping > SERVE_WHILE_STOPPING:
+        if stopping > DRAIN_GRACE_SECONDS:
             raise RefusedError(
                 503,
                 RefusalReason.NODE_DRAINING,
-                STOPPING_RETRY,
+                DRAINING_RETRY_SECONDS,
             )
 
-    def _note_admitted(self, work: Work) -> None:
+    def _record_admitted(self, admitted: AdmittedRequest) -> None:
         state = self._state
-        state.retries.earn(work.service, state.timers.now())
-        if work.workspace is not None:
-            workspace = work.workspace.name
-            state.counters.units_admitted.labels(workspace).inc(work.units)
+        state.retries.earn(admitted.service, state.timers.now())
+        if admitted.workspace is not None:
+            workspace = admitted.workspace.name
+            state.counters.units_admitted.labels(workspace).inc(admitted.units)
 
     async def _refuse_bad(
         self,
@@ -268,4 +272,4 @@
         if req is not None and req.method == 'HEAD':
             body = b''
         headers = refusal_headers(refusal, len(body))
-        await caller.answer(refusal.status, headers, body)
+        await caller.send_response(refusal.status, headers, body)
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -19,7 +19,7 @@
 from spanfall_node.gateway.home.lost_home import LostHome
 from spanfall_node.gateway.home.telling_words import tell_words
 from spanfall_node.gateway.home.totals import follow_own_table
-from spanfall_node.gateway.limits.unit_requests import UnitRequests
+from spanfall_node.gateway.limits.unit_requests import UnitClient
 from spanfall_node.gateway.links.crash_messages import QuarantineMessage
 from spanfall_node.gateway.links.messages import (
     MESSAGE_BYTES,
@@ -41,8 +41,8 @@
 )
 from spanfall_node.gateway.store.sync import Sync
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.upstreams.crash_watch import CrashWatch
-from spanfall_node.gateway.upstreams.grants import Grants
+from spanfall_node.gateway.upstreams.crash_watch import CrashDetector
+from spanfall_node.gateway.upstreams.grants import GrantClient
 
 logger = logging.getLogger(__name__)
 
@@ -69,9 +69,9 @@
         self,
         state: GatewayState,
         sync: Sync,
-        grants: Grants,
-        units: UnitRequests,
-        watch: CrashWatch,
+        grants: GrantClient,
+        units: UnitClient,
+        watch: CrashDetector,
     ) -> None:
         """Use the tables of the node, its ways to learn and to ask."""
         self._state = state
@@ -183,9 +183,9 @@
         now = self._state.timers.now()
         match message:
             case GrantMessage():
-                self._grants.learn(message)
+                self._grants.accept_answer(message)
             case UnitsMessage():
-                self._units.learn(message)
+                self._units.accept_answer(message)
             case TableMessage():
                 self._tables.append(message)
                 self._heard.set()
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/followed_table.py
@@ -14,7 +14,7 @@
 from spanfall_node.gateway.links.passing_on import unpack
 from spanfall_node.gateway.store.sync import Sync
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.upstreams.hearing import learn_words
+from spanfall_node.gateway.upstreams.hearing import merge_statements
 
 logger = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         if state.true_time.correct(table.true_time, now):
             logger.warning('Followed the time of day of the home')
         if table.words is not None:
-            learn_words(state, table.words.words)
+            merge_statements(state, table.words.words)
             self.words_version = table.words.version
         if table.totals is not None:
             self._totals_at = now
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -45,8 +45,8 @@
 from spanfall_node.gateway.links.word_messages import WordsPart, WordsReport
 from spanfall_node.gateway.net.sockets import BACKLOG
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.upstreams.granting import decide
-from spanfall_node.gateway.upstreams.hearing import learn_words
+from spanfall_node.gateway.upstreams.granting import decide_grant
+from spanfall_node.gateway.upstreams.hearing import merge_statements
 
 logger = logging.getLogger(__name__)
 
@@ -128,7 +128,7 @@
             case WatchedRun():
                 self._state.crashes.note_run(message, now)
             case WordsReport():
-                learn_words(self._state, message.words)
+                merge_statements(self._state, message.words)
             case _:
                 return self._reply(message, link, now)
         return None
@@ -167,7 +167,9 @@
     def _grant(self, message: AskMessage, now: float) -> GrantMessage:
         state = self._state
         state.grant_book.learn(message.entry, message.load, now)
-        return decide(state, message.entry, message.number, message.request)
+        return decide_grant(
+            state, message.entry, message.number, message.request
+        )
 
     def _units(self, message: UnitsRequest, now: float) -> UnitsMessage:
         units = self._state.lend_units(
--- a/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
@@ -46,7 +46,7 @@
         except (BadRequestError, CallerGoneError) as exc:
             logger.info('A status connection ended: %r', exc)
         finally:
-            await caller.close_at_once()
+            await caller.abort()
 
     async def _serve_requests(self, caller: CallerConnection) -> None:
         while True:
@@ -71,7 +71,7 @@
         elif req.path == '/metrics':
             status, body = 200, generate_latest(state.counters.registry)
         headers = [*_TEXT, (b'content-length', b'%d' % len(body))]
-        await caller.answer(status, headers, body)
+        await caller.send_response(status, headers, body)
 
 
 async def stop_on_signal(
--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
@@ -13,7 +13,7 @@
 
 #: Seconds for the home's answer: half of what a request waits at most to be
 #: admitted, and several ways between regions.
-UNITS_SECONDS = 0.06
+UNITS_TIMEOUT_SECONDS = 0.06
 
 #: Outcomes of a question, as counted.
 LENT = 'lent'
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class UnitRequests:
+class UnitClient:
     """Ask over the link that the entry holds to the home."""
 
     state: GatewayState
@@ -36,7 +36,7 @@
         """Ask nobody until there is another link."""
         self._questions.disconnect()
 
-    def learn(self, message: UnitsMessage) -> None:
+    def accept_answer(self, message: UnitsMessage) -> None:
         """Take what the home gave.
 
         It is counted as it arrives, in the order of the tables: the home
@@ -57,11 +57,11 @@
         missing = state.quotas.missing(workspace, limit, units, now)
         if not missing:
             return False
-        outcome = await self._ask(workspace, missing)
+        outcome = await self._request_units(workspace, missing)
         state.counters.unit_requests.labels(outcome).inc()
         return outcome == LENT
 
-    async def _ask(self, workspace: str, missing: float) -> str:
+    async def _request_units(self, workspace: str, missing: float) -> str:
         """Ask the home, which may be this node; return the outcome."""
         state = self.state
         if state.tenure is not None:
@@ -76,7 +76,7 @@
                 workspace,
                 missing,
             ),
-            UNITS_SECONDS,
+            UNITS_TIMEOUT_SECONDS,
         )
         if not question.is_answered:
             return UNANSWERED
--- a/packages/spanfall-node/src/spanfall_node/gateway/program.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/program.py
@@ -19,7 +19,7 @@
 from spanfall_node.gateway.home.home_links import HomeLinks
 from spanfall_node.gateway.home.leadership import Leadership
 from spanfall_node.gateway.lifecycle import StatusPages, stop_on_signal
-from spanfall_node.gateway.limits.unit_requests import UnitRequests
+from spanfall_node.gateway.limits.unit_requests import UnitClient
 from spanfall_node.gateway.net.logs import LineBudget, set_up_logging
 from spanfall_node.gateway.net.pool import ConnectionPool
 from spanfall_node.gateway.net.ports import PlatformAdapter
@@ -33,8 +33,8 @@
 from spanfall_node.gateway.store.sync import Sync
 from spanfall_node.gateway.tables.new_state import build_state
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.upstreams.crash_watch import CrashWatch
-from spanfall_node.gateway.upstreams.grants import Grants
+from spanfall_node.gateway.upstreams.crash_watch import CrashDetector
+from spanfall_node.gateway.upstreams.grants import GrantClient
 from spanfall_node.gateway.upstreams.relay import UpstreamAccess
 from spanfall_node.steady_clock import SteadyLoop, steady_seconds
 from spanfall_node.timers import Timers
@@ -100,9 +100,9 @@
     pool = ConnectionPool(tasks)
     store = StoreClient(state, pool)
     sync = Sync(state, store)
-    grants = Grants(state)
-    units = UnitRequests(state)
-    watch = CrashWatch(state, pool)
+    grants = GrantClient(state)
+    units = UnitClient(state)
+    watch = CrashDetector(state, pool)
     callers = Callers(state, UpstreamAccess(pool, grants, watch), units)
     records = HomeRecords(
         QuotaRecord(state, store),
@@ -120,8 +120,8 @@
         records.spending.run,
         records.needs.run,
         records.crashes.run,
-        watch.examine_unanswered,
-        watch.settle_doubts,
+        watch.probe_unanswered,
+        watch.resolve_suspected_crashes,
         EntryLink(state, sync, grants, units, watch).run,
     ]
     if state.cfg.reports_usage:
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
@@ -25,16 +25,16 @@
 from spanfall_node.gateway.tables.state import GatewayState
 
 #: Seconds after which a caller may ask a node that has no configuration.
-NOT_READY_RETRY = 0.5
+NOT_READY_RETRY_SECONDS = 0.5
 #: Longest time that a caller over its quota is told to wait.
-LONGEST_QUOTA_WAIT = 5.0
-SHORTEST_QUOTA_WAIT = 0.1
+MAX_QUOTA_RETRY_SECONDS = 5.0
+MIN_QUOTA_RETRY_SECONDS = 0.1
 #: Digits of a header number that are read; more is not a time or a count.
-NUMBER_DIGITS = 12
+MAX_NUMBER_DIGITS = 12
 
 
 @dataclass(slots=True)
-class Work:
+class AdmittedRequest:
     """Hold an admitted request."""
 
     req: CallerRequest
@@ -60,7 +60,7 @@
     req: CallerRequest,
     body: bytes,
     began_at: float,
-) -> Work:
+) -> AdmittedRequest:
     """Find the route and the workspace of a request and take its quota.
 
     Raises:
@@ -71,8 +71,8 @@
         raise RefusedError(
             503,
             RefusalReason.NODE_NOT_READY,
-            NOT_READY_RETRY,
-            may_pass=True,
+            NOT_READY_RETRY_SECONDS,
+            is_transient=True,
         )
     route = configuration.find_route(req.host, req.path)
     if route is None:
@@ -83,11 +83,11 @@
     standing = state.crashes.standing(identity, began_at)
     if standing is Standing.QUARANTINED:
         raise EndsUpstreamsError(identity)
-    prompt, most_output = token_counts(req, names)
-    units = _units(workspace, prompt + most_output)
-    _take_quota(state, workspace, units, began_at)
+    prompt, max_output = token_counts(req, names)
+    units = _units(workspace, prompt + max_output)
+    _spend_quota(state, workspace, units, began_at)
     attempt_id = req.header(names.attempt_id)
-    return Work(
+    return AdmittedRequest(
         req=req,
         body=body,
         attempt_id=attempt_id,
@@ -99,7 +99,7 @@
         prompt_tokens=prompt,
         units=units,
         began_at=began_at,
-        deadline=began_at + _time_left(req, names, route),
+        deadline=began_at + _request_timeout(req, names, route),
     )
 
 
@@ -140,10 +140,12 @@
 
 def _is_number(text: str) -> bool:
     stripped = text.strip()
-    return stripped.isdecimal() and len(stripped) <= NUMBER_DIGITS
+    return stripped.isdecimal() and len(stripped) <= MAX_NUMBER_DIGITS
 
 
-def _time_left(req: CallerRequest, names: HeaderNames, route: Route) -> float:
+def _request_timeout(
+    req: CallerRequest, names: HeaderNames, route: Route
+) -> float:
     text = req.header(names.deadline_ms)
     if not _is_number(text):
         return route.timeout
@@ -163,7 +165,7 @@
         raise RefusedError(
             503,
             RefusalReason.STALE_CONFIGURATION,
-            NOT_READY_RETRY,
+            NOT_READY_RETRY_SECONDS,
         )
     scheme, _, key = req.header(b'authorization').partition(' ')
     expected = state.platform.names.key_scheme.decode().lower()
@@ -181,7 +183,7 @@
     return tokens or workspace.default_tokens
 
 
-def _take_quota(
+def _spend_quota(
     state: GatewayState,
     workspace: ServedWorkspace | None,
     units: float,
@@ -192,15 +194,18 @@
     limit = state.limits_at(now)[workspace.name]
     if state.quotas.try_spend(workspace.name, limit, units, now):
         return
-    left = state.quotas.left(workspace.name, limit, now)
-    missing = (units - left) / workspace.rate
+    held_units = state.quotas.left(workspace.name, limit, now)
+    refill_seconds = (units - held_units) / workspace.rate
     raise UnitsMissingError(
         workspace.name,
         units,
-        min(LONGEST_QUOTA_WAIT, max(SHORTEST_QUOTA_WAIT, missing)),
-        may_pass=state.quotas.may_get_more(workspace.name, units, now),
+        min(
+            MAX_QUOTA_RETRY_SECONDS,
+            max(MIN_QUOTA_RETRY_SECONDS, refill_seconds),
+        ),
+        is_transient=state.quotas.may_get_more(workspace.name, units, now),
         detail=(
-            f'{workspace.name}: {units} units asked, {left:.0f} left here '
+            f'{workspace.name}: {units} units asked, {held_units:.0f} left here '
             f'of {limit.total:.0f}'
         ),
     )
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/caller_connection.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/caller_connection.py
@@ -17,12 +17,12 @@
 from spanfall_node.gateway.net.sockets import READ_BYTES, SOCKET_ERRORS
 
 #: Bytes that a caller may send ahead of the answer to its last request.
-AHEAD_BYTES = 65536
+MAX_PIPELINED_BYTES = 65536
 #: Seconds that a closed connection waits for the caller to close too, so
 #: that the last answer is not lost to a reset.
 LINGER_SECONDS = 1.0
 #: Most bytes of a body that was refused are read and dropped.
-DISCARD_BYTES = 8_388_608
+MAX_DISCARDED_BYTES = 8_388_608
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     #: Whether the answer under way tells the caller to close.
     closing: bool = False
     gone: bool = False
-    _ahead: int = 0
+    _pipelined_bytes: int = 0
 
     def __post_init__(self) -> None:
         """Start the protocol with the limit of a request's head."""
@@ -102,15 +102,15 @@
                 self.closing = True
                 raise BadRequestError(413, 'the body is too large')
 
-    async def watch_leaving(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return when the caller leaves; keep what it sends ahead."""
-        while self._ahead < AHEAD_BYTES:
+        while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 received = await self.stream.receive(READ_BYTES)
             except SOCKET_ERRORS:
                 self.gone = True
                 return
-            self._ahead += len(received)
+            self._pipelined_bytes += len(received)
             self.protocol.receive_data(received)
         await anyio.sleep_forever()
 
@@ -141,7 +141,7 @@
         """
         await self._write(self.protocol.send(h11.EndOfMessage()))
 
-    async def answer(
+    async def send_response(
         self,
         status: int,
         headers: Headers,
@@ -170,19 +170,19 @@
         if self.protocol.their_state is not h11.DONE:
             return False
         self.protocol.start_next_cycle()
-        self._ahead = 0
+        self._pipelined_bytes = 0
         return True
 
-    async def close_politely(self) -> None:
+    async def close_gracefully(self) -> None:
         """Close so that what was sent arrives."""
         with anyio.move_on_after(LINGER_SECONDS, shield=True):
             try:
                 await self._linger()
             except SOCKET_ERRORS:
                 self.gone = True
-        await self.close_at_once()
+        await self.abort()
 
-    async def close_at_once(self) -> None:
+    async def abort(self) -> None:
         """Close at once, so that an unfinished answer looks unfinished."""
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self.stream)
@@ -190,7 +190,7 @@
     async def _linger(self) -> None:
         await self.stream.send_eof()
         dropped = 0
-        while dropped < DISCARD_BYTES:
+        while dropped < MAX_DISCARDED_BYTES:
             dropped += len(await self.stream.receive(READ_BYTES))
 
     async def _wait_for_bytes(self) -> bool:
@@ -250,8 +250,10 @@
         )
 
     def _continue(self) -> bytes:
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
-        return self.protocol.send(go_on)
+        interim_response = h11.InformationalResponse(
+            status_code=100, headers=[]
+        )
+        return self.protocol.send(interim_response)
 
     async def _write(self, outgoing: bytes) -> None:
         if self.gone:
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/refusals.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/refusals.py
@@ -10,7 +10,7 @@
 from spanfall_node.gateway.net.ports import Headers
 
 #: Statuses that promise that the request has not run and never will.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class RefusedError(Exception):
@@ -22,7 +22,7 @@
         reason: RefusalReason,
         retry_after: float = 0,
         *,
-        may_pass: bool = False,
+        is_transient: bool = False,
         detail: str = '',
     ) -> None:
         """Hold the status, the reason and the seconds to wait.
@@ -34,7 +34,7 @@
         self.status = status
         self.reason = reason
         self.retry_after = retry_after
-        self.may_pass = may_pass
+        self.is_transient = is_transient
         self.detail = detail
 
 
@@ -63,7 +63,7 @@
         units: float,
         retry_after: float,
         *,
-        may_pass: bool,
+        is_transient: bool,
         detail: str,
     ) -> None:
         """Hold the workspace and all units that the request needs."""
@@ -71,7 +71,7 @@
             429,
             RefusalReason.RATE_LIMITED,
             retry_after,
-            may_pass=may_pass,
+            is_transient=is_transient,
             detail=detail,
         )
         self.workspace = workspace
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class ProblemDetails:
     """Tell a caller why its request is not served (RFC 9457)."""
 
     title: str
@@ -90,8 +90,10 @@
 def refusal_body(refusal: RefusedError) -> bytes:
     """Return the body of a refusal."""
     title = HTTPStatus(refusal.status).phrase
-    problem = Problem(title, refusal.status, refusal.reason.value)
-    return msgspec.json.encode(problem)
+    problem_details = ProblemDetails(
+        title, refusal.status, refusal.reason.value
+    )
+    return msgspec.json.encode(problem_details)
 
 
 def refusal_headers(refusal: RefusedError, size: int) -> Headers:
@@ -100,6 +102,6 @@
         (b'content-type', b'application/problem+json'),
         (b'content-length', b'%d' % size),
     ]
-    if refusal.retry_after and refusal.status in PROMISES:
+    if refusal.retry_after and refusal.status in NOT_RUN_STATUSES:
         headers.append((b'retry-after', b'%.3f' % refusal.retry_after))
     return headers
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
@@ -7,44 +7,48 @@
 
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.attempt import Exchange
-from spanfall_node.gateway.upstreams.grants import Grants, Outcome
+from spanfall_node.gateway.upstreams.grants import ChoiceOutcome, GrantClient
 
 #: Seconds that a suspect waits for its trial while another one is tried: as
 #: long as a trial whose upstream says nothing. Then it may come back.
 TRIAL_WAIT_SECONDS = 1.5
-TRIAL_STEP = 0.05
+TRIAL_POLL_SECONDS = 0.05
 #: Part of a route's target that a request waits for its turn at an upstream
 #: with a limit: a refusal later than that helps its caller no more.
-TURN_WAIT_PART = 0.25
+PERMIT_WAIT_FRACTION = 0.25
 #: Seconds to a turn at the least: where many upstreams are limited one comes
 #: each moment, and each look for it is a question to the home.
-TURN_STEP = 0.02
+MIN_PERMIT_WAIT_SECONDS = 0.02
 
 
 async def choose_or_wait(
     state: GatewayState,
-    grants: Grants,
+    grants: GrantClient,
     exchange: Exchange,
-) -> Outcome:
+) -> ChoiceOutcome:
     """Choose an upstream; wait where that serves the caller better.
 
     A suspect waits a while for its trial, and a request that an upstream's own
     limit or back-off keeps back waits where its turn comes within a part of its
     target.
     """
-    work = exchange.work
+    admitted = exchange.admitted
     began_at = state.timers.now()
-    turn_until = work.began_at + work.route.target * TURN_WAIT_PART
+    permit_wait_until = (
+        admitted.began_at + admitted.route.target * PERMIT_WAIT_FRACTION
+    )
     while True:
-        ask = _ask(state, exchange)
-        choice = await grants.choose(work.service, ask)
-        choice = _after_backoff(state, work.service, ask, choice)
+        routing_request = _routing_request(state, exchange)
+        choice = await grants.choose(admitted.service, routing_request)
+        choice = _retry_after_backoff(
+            state, admitted.service, routing_request, choice
+        )
         now = state.timers.now()
         if choice is Standing.SUSPECT:
-            seconds, until = TRIAL_STEP, began_at + TRIAL_WAIT_SECONDS
+            seconds, until = TRIAL_POLL_SECONDS, began_at + TRIAL_WAIT_SECONDS
         elif isinstance(choice, ComeBack):
-            choice = ComeBack(max(TURN_STEP, choice.seconds))
-            seconds, until = choice.seconds, turn_until
+            choice = ComeBack(max(MIN_PERMIT_WAIT_SECONDS, choice.seconds))
+            seconds, until = choice.seconds, permit_wait_until
         else:
             return choice
         if now + seconds > until:
@@ -52,37 +56,43 @@
         await anyio.sleep(seconds)
 
 
-def _ask(state: GatewayState, exchange: Exchange) -> Ask:
-    work = exchange.work
+def _routing_request(state: GatewayState, exchange: Exchange) -> Ask:
+    admitted = exchange.admitted
     return Ask(
-        work.attempt_id,
+        admitted.attempt_id,
         state.cfg.data_centre,
-        work.parts,
-        work.prompt_tokens,
+        admitted.parts,
+        admitted.prompt_tokens,
         frozenset(exchange.tried),
-        work.identity,
+        admitted.identity,
         state.words.backoffs.named(state.timers.now()),
     )
 
 
-def _after_backoff(
+def _retry_after_backoff(
     state: GatewayState,
     service: str,
-    ask: Ask,
-    choice: Outcome,
-) -> Outcome:
+    routing_request: Ask,
+    choice: ChoiceOutcome,
+) -> ChoiceOutcome:
     """Say when to come back where only a back-off keeps a request from serving."""
     if choice is not None and not isinstance(choice, ComeBack):
         return choice
     rows = state.directory.serving(service)
-    untried = (row.lifetime for row in rows if row.lifetime not in ask.tried)
+    untried = (
+        row.lifetime
+        for row in rows
+        if row.lifetime not in routing_request.tried
+    )
     backoff = state.words.backoffs.first_end(untried, state.timers.now())
     if backoff is None:
         return choice
     return ComeBack(backoff if choice is None else min(backoff, choice.seconds))
 
 
-def wait_for_any(state: GatewayState, service: str) -> float | None:
+def seconds_until_backoff_ends(
+    state: GatewayState, service: str
+) -> float | None:
     """Return the seconds until the first back-off ends, if all are avoided."""
     now = state.timers.now()
     lifetimes = [row.lifetime for row in state.directory.serving(service)]
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -27,23 +27,23 @@
 from spanfall_node.gateway.tables.state import GatewayState
 
 #: Seconds for the answer of a host that ended a connection a moment ago.
-PROBE_SECONDS = 0.1
+PROBE_TIMEOUT_SECONDS = 0.1
 #: Seconds in which one that only holds the port closes what it took, and in
 #: which the other connections of a process that has ended are seen to end.
-CLOSE_SECONDS = 0.03
+CLOSE_WAIT_SECONDS = 0.03
 #: Seconds without a word of an upstream after which a caller that leaves, or
 #: whose time is over, may have waited for one that has ended.
-SILENT_SECONDS = 1.0
+MIN_SILENCE_SECONDS = 1.0
 #: Requests that may wait to be examined; more are not. A probe each second of
 #: each upstream is enough for all that wait there.
-MOST_WAITING = 256
+MAX_QUEUED_PROBES = 256
 PROBE_PERIOD = 1.0
 #: Seconds between two looks at the platform's list while there is a doubt.
-SETTLE_PERIOD = 0.2
+SUSPICION_CHECK_PERIOD = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
+class UnansweredRequest:
     """Hold a request that got no answer in its time."""
 
     identity: RequestIdentity
@@ -51,17 +51,19 @@
 
 
 @dataclass(slots=True)
-class CrashWatch:
+class CrashDetector:
     """Examine broken sends and tell the home of them."""
 
     state: GatewayState
     pool: ConnectionPool
     _send: Send | None = field(default=None)
     #: What the last probe of an upstream showed, and when.
-    _probed: dict[Lifetime, tuple[float, Sign]] = field(default_factory=dict)
+    _probe_results: dict[Lifetime, tuple[float, Sign]] = field(
+        default_factory=dict
+    )
     #: Requests that wait to be examined, and the event that tells of one.
-    _waiting: deque[Unanswered] = field(default_factory=deque)
-    _is_waiting: anyio.Event = field(default_factory=anyio.Event)
+    _queue: deque[UnansweredRequest] = field(default_factory=deque)
+    _queue_filled: anyio.Event = field(default_factory=anyio.Event)
 
     def connect(self, send: Send) -> None:
         """Tell the home over this link from now on."""
@@ -71,7 +73,7 @@
         """Keep what is found until there is another link."""
         self._send = None
 
-    async def examine(
+    async def check_broken_send(
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
@@ -80,49 +82,53 @@
 
         The home knows it before it is asked for another upstream.
         """
-        sign = await self._look(upstream)
-        if sign is Sign.LIVES:
-            await self.note_run(identity, RunStage.OVER)
+        probe_result = await self._probe_after_break(upstream)
+        if probe_result is Sign.LIVES:
+            await self.report_run(identity, RunStage.OVER)
             return
-        await self._note(identity, upstream, sign)
+        await self._record(identity, upstream, probe_result)
 
-    def note_unanswered(
+    def queue_unanswered(
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
-        heard_at: float,
+        last_received_at: float,
     ) -> None:
         """Have an upstream examined that a caller waited for in vain."""
-        if self.state.timers.now() - heard_at < SILENT_SECONDS:
+        if self.state.timers.now() - last_received_at < MIN_SILENCE_SECONDS:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._queue) >= MAX_QUEUED_PROBES:
             self.state.counters.unexamined.inc()
             return
-        self._waiting.append(Unanswered(identity, upstream))
-        self._is_waiting.set()
+        self._queue.append(UnansweredRequest(identity, upstream))
+        self._queue_filled.set()
 
-    async def examine_unanswered(self) -> None:
+    async def probe_unanswered(self) -> None:
         """Examine upstreams that callers waited for, until cancelled."""
         while True:
-            await self._is_waiting.wait()
-            while self._waiting:
-                waited = self._waiting.popleft()
-                sign = await self._probe_rarely(waited.upstream)
-                if sign in {Sign.ENDED, Sign.NO_ANSWER}:
-                    await self._note(waited.identity, waited.upstream, sign)
-            self._is_waiting = anyio.Event()
-
-    async def settle_doubts(self) -> None:
+            await self._queue_filled.wait()
+            while self._queue:
+                unanswered = self._queue.popleft()
+                probe_result = await self._probe_rate_limited(
+                    unanswered.upstream
+                )
+                if probe_result in {Sign.ENDED, Sign.NO_ANSWER}:
+                    await self._record(
+                        unanswered.identity, unanswered.upstream, probe_result
+                    )
+            self._queue_filled = anyio.Event()
+
+    async def resolve_suspected_crashes(self) -> None:
         """Learn which doubted upstreams have ended, until cancelled."""
         state = self.state
         while True:
             await state.crashes.doubted.wait()
-            await anyio.sleep(SETTLE_PERIOD)
+            await anyio.sleep(SUSPICION_CHECK_PERIOD)
             now = state.timers.now()
             heartbeat = state.cfg.upstream_heartbeat_seconds
             state.crashes.settle(state.directory, heartbeat, now)
 
-    async def note_run(
+    async def report_run(
         self,
         identity: RequestIdentity,
         stage: RunStage,
@@ -133,60 +139,62 @@
         if self._send is not None:
             await self._send(run)
 
-    async def _note(
+    async def _record(
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
-        sign: Sign,
+        probe_result: Sign,
     ) -> None:
         """Note what a sign tells, here and at the home."""
         crashes = self.state.crashes
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        if sign is Sign.ENDED:
+        if probe_result is Sign.ENDED:
             crashes.note_end(identity, lifetime, now)
             report = CrashReport({identity: (lifetime,)})
         else:
-            is_strong = sign is Sign.NO_ANSWER
+            is_strong = probe_result is Sign.NO_ANSWER
             crashes.note_doubt(identity, lifetime, now, is_strong=is_strong)
             report = CrashReport(doubts={identity: {lifetime: is_strong}})
         if self._send is not None:
             await self._send(report)
 
-    async def _look(self, upstream: ListedUpstream) -> Sign:
+    async def _probe_after_break(self, upstream: ListedUpstream) -> Sign:
         """Return what an upstream shows just after a send to it broke."""
         before = self.pool.open_connections(upstream.lifetime)
-        sign = await _probe(upstream.address)
-        if sign is not Sign.TAKES_CONNECTIONS:
-            return sign
+        probe_result = await _probe(upstream.address)
+        if probe_result is not Sign.TAKES_CONNECTIONS:
+            return probe_result
         after = self.pool.open_connections(upstream.lifetime)
-        return Sign.LIVES if before & after else sign
+        return Sign.LIVES if before & after else probe_result
 
-    async def _probe_rarely(self, upstream: ListedUpstream) -> Sign:
+    async def _probe_rate_limited(self, upstream: ListedUpstream) -> Sign:
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        probed_at, sign = self._probed.get(lifetime, (-math.inf, Sign.LIVES))
+        probed_at, probe_result = self._probe_results.get(
+            lifetime, (-math.inf, Sign.LIVES)
+        )
         if now - probed_at < PROBE_PERIOD:
-            return sign
-        sign = await _probe(upstream.address)
-        self._probed = {
+            return probe_result
+        probe_result = await _probe(upstream.address)
+        self._probe_results = {
             key: row
-            for key, row in self._probed.items()
+            for key, row in self._probe_results.items()
             if now - row[0] < PROBE_PERIOD
         }
-        self._probed[lifetime] = (now, sign)
-        return sign
+        self._probe_results[lifetime] = (now, probe_result)
+        return probe_result
 
 
 async def _probe(address: str) -> Sign:
     try:
-        conn = await connect(address, PROBE_SECONDS)
+        conn = await connect(address, PROBE_TIMEOUT_SECONDS)
     except NobodyListensError:
         return Sign.ENDED
     except NotSentError:
         return Sign.NO_ANSWER
     try:
-        is_closed = await conn.ends_within(CLOSE_SECONDS)
+        is_closed = await conn.ends_within(CLOSE_WAIT_SECONDS)
     finally:
         await conn.close()
     return Sign.NO_ANSWER if is_closed else Sign.TAKES_CONNECTIONS
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/event_parts.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/event_parts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 #: Most bytes of one event.
-EVENT_BYTES = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 
 _EVENT_END = re.compile(rb'\r?\n\r?\n')
 _EVENT_ID = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
@@ -23,7 +23,7 @@
 class EventSplitter:
     """Hold the unfinished event of a stream and the last id seen."""
 
-    rest: bytes = b''
+    partial_event: bytes = b''
     last_id: bytes = b''
     events: int = 0
 
@@ -33,20 +33,20 @@
         Raises:
             EventTooLargeError: an event does not end.
         """
-        joined = self.rest + received
+        joined = self.partial_event + received
         end = 0
         for found in _EVENT_END.finditer(joined):
             end = found.end()
             self.events += 1
         whole = joined[:end]
-        self.rest = joined[end:]
-        if len(self.rest) > EVENT_BYTES:
+        self.partial_event = joined[end:]
+        if len(self.partial_event) > MAX_EVENT_BYTES:
             raise EventTooLargeError
         ids = _EVENT_ID.findall(whole)
         if ids:
             self.last_id = ids[-1]
         return whole
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Drop an unfinished event; another upstream sends it again."""
-        self.rest = b''
+        self.partial_event = b''
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/forwarded.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/forwarded.py
@@ -2,10 +2,10 @@
 
 from spanfall_node.gateway.net.client import AnswerHead
 from spanfall_node.gateway.net.ports import HeaderNames, Headers, HttpCall
-from spanfall_node.gateway.requests.admission import Work
+from spanfall_node.gateway.requests.admission import AdmittedRequest
 
 #: Headers that concern one connection only (RFC 9110, section 7.6.1).
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -21,35 +21,43 @@
     ),
 )
 #: Lowest rank that engines tell apart.
-LAST_PRIORITY = 9
+LOWEST_PRIORITY = 9
 #: Milliseconds less than what is left, for the way back.
-WAY_BACK_MS = 5
+RETURN_MARGIN_MS = 5
 
 
 def upstream_call(
     names: HeaderNames,
-    work: Work,
+    admitted: AdmittedRequest,
     upstream_id: str,
     last_event_id: bytes,
-    left: float,
+    seconds_left: float,
 ) -> HttpCall:
     """Return the request as an upstream gets it, ``left`` seconds to run."""
-    dropped = HOP_HEADERS | names.set_by_nodes | _named_hops(work)
+    dropped = (
+        HOP_BY_HOP_HEADERS | names.set_by_nodes | _connection_options(admitted)
+    )
     headers = [
-        (name, text) for name, text in work.req.headers if name not in dropped
+        (name, text)
+        for name, text in admitted.req.headers
+        if name not in dropped
     ]
-    left_ms = max(1, int(left * 1000) - WAY_BACK_MS)
+    left_ms = max(1, int(seconds_left * 1000) - RETURN_MARGIN_MS)
     headers.append((names.deadline_ms, b'%d' % left_ms))
     headers.append((names.expected_lifetime, upstream_id.encode()))
-    if work.workspace is not None:
+    if admitted.workspace is not None:
         headers = _without_key(headers)
-        headers.append((names.workspace, work.workspace.name.encode()))
-    if work.prompt_tokens:
-        headers.append((names.engine_priority, b'%d' % _rank(work)))
+        headers.append((names.workspace, admitted.workspace.name.encode()))
+    if admitted.prompt_tokens:
+        headers.append(
+            (names.engine_priority, b'%d' % _engine_priority(admitted))
+        )
     if last_event_id:
         headers = [row for row in headers if row[0] != names.last_event_id]
         headers.append((names.last_event_id, last_event_id))
-    return HttpCall(work.req.method, work.req.target, headers, work.body)
+    return HttpCall(
+        admitted.req.method, admitted.req.target, headers, admitted.body
+    )
 
 
 def is_event_stream(head: AnswerHead) -> bool:
@@ -57,7 +65,7 @@
     return head.header(b'content-type').startswith(b'text/event-stream')
 
 
-def answer_headers(
+def response_headers(
     head: AnswerHead,
     size: int | None,
     method: str,
@@ -68,7 +76,9 @@
     and is sent in chunks.
     """
     headers = [
-        (name, text) for name, text in head.headers if name not in HOP_HEADERS
+        (name, text)
+        for name, text in head.headers
+        if name not in HOP_BY_HOP_HEADERS
     ]
     if method == 'HEAD' or head.status in {204, 304}:
         return headers
@@ -77,17 +87,20 @@
     return headers
 
 
-def _named_hops(work: Work) -> set[bytes]:
-    named = work.req.header(b'connection').split(',')
-    return {name.strip().lower().encode('latin-1') for name in named}
+def _connection_options(admitted: AdmittedRequest) -> set[bytes]:
+    options = admitted.req.header(b'connection').split(',')
+    return {name.strip().lower().encode('latin-1') for name in options}
 
 
 def _without_key(headers: Headers) -> Headers:
     return [row for row in headers if row[0] != b'authorization']
 
 
-def _rank(work: Work) -> int:
-    rank = work.route.priority
-    if work.workspace is not None and work.workspace.priority is not None:
-        rank = work.workspace.priority
-    return max(0, min(LAST_PRIORITY, rank))
+def _engine_priority(admitted: AdmittedRequest) -> int:
+    priority = admitted.route.priority
+    if (
+        admitted.workspace is not None
+        and admitted.workspace.priority is not None
+    ):
+        priority = admitted.workspace.priority
+    return max(0, min(LOWEST_PRIORITY, priority))
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -17,16 +17,16 @@
 #: Seconds after which a caller is to come back whose request only upstreams
 #: with limits of their own could serve, while no home gives permits: most
 #: homes that end are followed by then.
-HOMELESS_SECONDS = 2.0
+NO_HOME_RETRY_SECONDS = 2.0
 
 #: Standings of requests for which the home grants nothing.
-NOT_SENT = frozenset((Standing.HELD, Standing.QUARANTINED))
+UNGRANTED_STANDINGS = frozenset((Standing.HELD, Standing.QUARANTINED))
 
 #: Recent failures from which on an upstream is taken to fail.
-FAILING = 1.0
+FAILING_THRESHOLD = 1.0
 
 
-def decide(
+def decide_grant(
     state: GatewayState,
     entry: str,
     number: int,
@@ -40,7 +40,7 @@
     now = state.timers.now()
     state.learn_own_load(now)
     standing = state.crashes.standing(request.ask.identity, now)
-    if standing in NOT_SENT:
+    if standing in UNGRANTED_STANDINGS:
         return GrantMessage(number, standing=standing)
     if not request.ask.tried:
         state.grant_book.asked[request.service] += 1
@@ -54,9 +54,9 @@
             return GrantMessage(number, standing=standing)
     if standing is not Standing.FREE:
         ask = request.ask
-        closed = ask.tried | ask.avoided | withheld
-        candidates = _where_least_breaks(state, serving, closed, now)
-    grant = _choose_as_home(
+        excluded = ask.tried | ask.avoided | withheld
+        candidates = _cheapest_to_crash(state, serving, excluded, now)
+    grant = _choose_and_grant(
         state,
         entry,
         number,
@@ -66,7 +66,7 @@
     )
     wait = 0.0
     if grant is None:
-        wait = _wait(state, request, now)
+        wait = _seconds_to_permit(state, request, now)
     return GrantMessage(number, grant, standing, wait)
 
 
@@ -80,31 +80,33 @@
     return state.words.table.rates.keys()
 
 
-def _wait(state: GatewayState, request: GrantRequest, now: float) -> float:
+def _seconds_to_permit(
+    state: GatewayState, request: GrantRequest, now: float
+) -> float:
     """Return when an upstream has room that has none by its own limit."""
-    untried = is_any_limited(state, request.service, request.ask)
-    if not untried:
+    has_candidate = has_limited_candidate(state, request.service, request.ask)
+    if not has_candidate:
         return 0
     if is_giver(state.tenure, now):
         rows = state.directory.serving(request.service)
         return state.words.permits.wait(request.service, rows, now)
-    return HOMELESS_SECONDS
+    return NO_HOME_RETRY_SECONDS
 
 
-def is_any_limited(state: GatewayState, service: str, ask: Ask) -> bool:
+def has_limited_candidate(state: GatewayState, service: str, ask: Ask) -> bool:
     """Tell whether room at an upstream with a limit would serve a request."""
     limited = state.words.table.rates
-    closed = ask.tried | ask.avoided
+    excluded = ask.tried | ask.avoided
     return bool(limited) and any(
-        row.lifetime in limited and row.lifetime not in closed
+        row.lifetime in limited and row.lifetime not in excluded
         for row in state.directory.serving(service)
     )
 
 
-def _where_least_breaks(
+def _cheapest_to_crash(
     state: GatewayState,
     candidates: Sequence[ListedUpstream],
-    closed: AbstractSet[Lifetime],
+    excluded: AbstractSet[Lifetime],
     now: float,
 ) -> Sequence[ListedUpstream]:
     """Return the upstream whose end would cost least, if one is left.
@@ -116,13 +118,13 @@
 
     def cost(row: ListedUpstream) -> tuple[bool, int]:
         failures = state.loads.failures_at(row.lifetime, now)
-        return failures >= FAILING, running[row.lifetime]
+        return failures >= FAILING_THRESHOLD, running[row.lifetime]
 
-    left = [row for row in candidates if row.lifetime not in closed]
+    left = [row for row in candidates if row.lifetime not in excluded]
     return sorted(left, key=cost)[:1]
 
 
-def _choose_as_home(
+def _choose_and_grant(
     state: GatewayState,
     entry: str,
     number: int,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -21,38 +21,38 @@
 from spanfall_node.gateway.links.questions import Questions, Send
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.granting import (
-    HOMELESS_SECONDS,
-    decide,
-    is_any_limited,
+    NO_HOME_RETRY_SECONDS,
+    decide_grant,
+    has_limited_candidate,
 )
 
 logger = logging.getLogger(__name__)
 
 #: Seconds that a request waits for the home's decision: some ways between
 #: data centres, and far less than any target.
-GRANT_SECONDS = 0.03
+GRANT_TIMEOUT_SECONDS = 0.03
 #: Seconds for which an entry decides alone after the home was too slow.
-ALONE_SECONDS = 0.5
+LOCAL_DECISION_SECONDS = 0.5
 #: Standings of requests that are not sent without the home's grant.
-WITHHELD = frozenset(
+GRANT_REQUIRED = frozenset(
     (Standing.SUSPECT, Standing.HELD, Standing.QUARANTINED),
 )
 #: What a choice leads to; None: no upstream serves.
-Outcome = Choice | ComeBack | Standing | None
+ChoiceOutcome = Choice | ComeBack | Standing | None
 
 #: Outcomes of a choice, as counted.
 AS_HOME = 'as-home'
 GRANTED = 'granted'
-ALONE = 'alone'
+DECIDED_LOCALLY = 'alone'
 
 
 @dataclass(slots=True)
-class Grants:
+class GrantClient:
     """Ask the home over the link that the entry holds to it."""
 
     state: GatewayState
     _questions: Questions[GrantMessage] = field(default_factory=Questions)
-    _alone_until: float = 0
+    _local_until: float = 0
 
     def connect(self, send: Send) -> None:
         """Ask over this link from now on."""
@@ -62,7 +62,7 @@
         """Decide alone until there is another link."""
         self._questions.disconnect()
 
-    def learn(self, answer: GrantMessage) -> None:
+    def accept_answer(self, answer: GrantMessage) -> None:
         """Take the home's answer; one that comes too late is not used."""
         self._questions.learn(answer.number, answer)
 
@@ -74,7 +74,7 @@
         self,
         service: str,
         ask: Ask,
-    ) -> Outcome:
+    ) -> ChoiceOutcome:
         """Return the upstream for a request, if any serves.
 
         Return its standing where it may not be sent, or not now. The caller
@@ -85,21 +85,23 @@
         if state.tenure is not None:
             state.counters.grants.labels(AS_HOME).inc()
             request = GrantRequest(service, ask)
-            return self._outcome(decide(state, state.entry_key, 0, request))
-        asks = self._questions.is_connected
-        if asks and state.timers.now() >= self._alone_until:
-            choice = await self._ask_home(service, ask)
+            return self._accept_grant(
+                decide_grant(state, state.entry_key, 0, request)
+            )
+        can_ask = self._questions.is_connected
+        if can_ask and state.timers.now() >= self._local_until:
+            choice = await self._request_grant(service, ask)
             if choice is not None:
                 state.counters.grants.labels(GRANTED).inc()
                 return choice
-        state.counters.grants.labels(ALONE).inc()
-        return self._choose_alone(service, ask)
+        state.counters.grants.labels(DECIDED_LOCALLY).inc()
+        return self._choose_locally(service, ask)
 
-    async def _ask_home(
+    async def _request_grant(
         self,
         service: str,
         ask: Ask,
-    ) -> Outcome:
+    ) -> ChoiceOutcome:
         state = self.state
         request = GrantRequest(service, ask)
         question = await self._questions.ask(
@@ -109,23 +111,23 @@
                 request,
                 self.load(),
             ),
-            GRANT_SECONDS,
+            GRANT_TIMEOUT_SECONDS,
         )
         if not question.is_answered:
-            self._alone_until = state.timers.now() + ALONE_SECONDS
+            self._local_until = state.timers.now() + LOCAL_DECISION_SECONDS
             logger.info(
                 'The home granted nothing within %s s; deciding alone',
-                GRANT_SECONDS,
+                GRANT_TIMEOUT_SECONDS,
             )
         if question.answer is None:
             return None
-        return self._outcome(question.answer)
+        return self._accept_grant(question.answer)
 
-    def _outcome(self, answer: GrantMessage) -> Outcome:
+    def _accept_grant(self, answer: GrantMessage) -> ChoiceOutcome:
         """Return the granted choice unless this node knows better."""
         grant = answer.grant
         if grant is None:
-            if answer.standing in WITHHELD:
+            if answer.standing in GRANT_REQUIRED:
                 return answer.standing
             return ComeBack(answer.wait) if answer.wait else None
         row = self.state.directory.rows.get(grant.lifetime)
@@ -141,11 +143,11 @@
         is_watched = answer.standing is not Standing.FREE
         return Choice(row, 0, grant.prefill, grant.ahead, is_watched)
 
-    def _choose_alone(
+    def _choose_locally(
         self,
         service: str,
         ask: Ask,
-    ) -> Outcome:
+    ) -> ChoiceOutcome:
         """Choose from what is known here.
 
         Only the home tries suspects, and gives permits for upstreams that
@@ -154,7 +156,7 @@
         state = self.state
         now = state.timers.now()
         standing = state.crashes.standing(ask.identity, now)
-        if standing in WITHHELD:
+        if standing in GRANT_REQUIRED:
             return standing
         words = state.words
         choice = choose(
@@ -165,6 +167,6 @@
             now,
             words.table.rates.keys() | words.backoffs.active(now),
         )
-        if choice is None and is_any_limited(state, service, ask):
-            return ComeBack(HOMELESS_SECONDS)
+        if choice is None and has_limited_candidate(state, service, ask):
+            return ComeBack(NO_HOME_RETRY_SECONDS)
         return choice
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -12,10 +12,10 @@
 
 #: The status with which another lifetime answers at the address: what it says
 #: of itself is not said of the one that was asked.
-OTHER_LIFETIME = 421
+OTHER_LIFETIME_STATUS = 421
 
 
-def hear(
+def record_statement(
     state: GatewayState,
     lifetime: Lifetime,
     head: AnswerHead,
@@ -25,33 +25,33 @@
 
     ``sent_at`` is when the request was sent over that connection.
     """
-    if head.status == OTHER_LIFETIME:
+    if head.status == OTHER_LIFETIME_STATUS:
         return
-    said = state.platform.read_statement(head.status, head.headers)
-    news = state.words.hear(
+    statement = state.platform.read_statement(head.status, head.headers)
+    changes = state.words.hear(
         lifetime,
-        said,
+        statement,
         sent_at,
         state.timers.now(),
         is_signed=bool(head.header(state.platform.names.signature)),
     )
-    if News.LEAVES in news:
+    if News.LEAVES in changes:
         state.directory.note_words((lifetime,))
-    if said.backoff:
-        news.append(News.BACK_OFF)
-    for one in news:
+    if statement.backoff:
+        changes.append(News.BACK_OFF)
+    for one in changes:
         state.counters.statements.labels(one.value).inc()
-    if news:
+    if changes:
         logger.info(
             'Upstream %s says: %s; %s requests a second, back-off %s s',
             lifetime,
-            ', '.join(news),
-            said.rate,
-            said.backoff,
+            ', '.join(changes),
+            statement.rate,
+            statement.backoff,
         )
 
 
-def learn_words(state: GatewayState, words: Words) -> None:
+def merge_statements(state: GatewayState, words: Words) -> None:
     """Take what another node knows of upstreams."""
-    news = state.words.learn(words, state.timers.now())
-    state.directory.note_words(news)
+    changes = state.words.learn(words, state.timers.now())
+    state.directory.note_words(changes)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -22,7 +22,7 @@
 
 from spanfall_node.gateway.links.crash_messages import RunStage
 from spanfall_node.gateway.net.pool import ConnectionPool
-from spanfall_node.gateway.requests.admission import Work
+from spanfall_node.gateway.requests.admission import AdmittedRequest
 from spanfall_node.gateway.requests.caller_connection import CallerConnection
 from spanfall_node.gateway.requests.refusals import (
     EndsUpstreamsError,
@@ -34,22 +34,22 @@
     Exchange,
     Failed,
     count_run,
-    relay_whole,
+    relay_buffered,
 )
 from spanfall_node.gateway.upstreams.choosing import (
     choose_or_wait,
-    wait_for_any,
+    seconds_until_backoff_ends,
 )
-from spanfall_node.gateway.upstreams.crash_watch import CrashWatch
-from spanfall_node.gateway.upstreams.grants import Grants
+from spanfall_node.gateway.upstreams.crash_watch import CrashDetector
+from spanfall_node.gateway.upstreams.grants import GrantClient
 from spanfall_node.gateway.upstreams.sending import send
 
 logger = logging.getLogger(__name__)
 
 #: Seconds after which a caller may ask again where nothing ran.
-RETRY_SECONDS = 0.2
+NOT_RUN_RETRY_SECONDS = 0.2
 #: Seconds kept for the answer at the end of a request's time.
-ANSWER_SECONDS = 0.02
+RESPONSE_MARGIN_SECONDS = 0.02
 #: Seconds after which a suspect that waited for its trial may come back.
 TRIAL_RETRY_SECONDS = 0.5
 #: Seconds after which one that is held may come back: until then the platform's
@@ -62,14 +62,14 @@
     """Hold what leads from this node to the upstreams."""
 
     pool: ConnectionPool
-    grants: Grants
-    crashes: CrashWatch
+    grants: GrantClient
+    crash_detector: CrashDetector
 
 
 async def serve(
     state: GatewayState,
     access: UpstreamAccess,
-    work: Work,
+    admitted: AdmittedRequest,
     caller: CallerConnection,
 ) -> None:
     """Serve one admitted request until its answer ends.
@@ -78,35 +78,39 @@
         RefusedError: nothing has run, or nobody knows; nothing was relayed.
         CallerGoneError: the caller left.
     """
-    exchange = Exchange(work, caller)
-    left = work.deadline - state.timers.now() - ANSWER_SECONDS
-    scope = anyio.move_on_after(max(0, left))
+    exchange = Exchange(admitted, caller)
+    seconds_left = (
+        admitted.deadline - state.timers.now() - RESPONSE_MARGIN_SECONDS
+    )
+    scope = anyio.move_on_after(max(0, seconds_left))
     with scope:
         await _send_until_answered(state, access, exchange)
     if scope.cancelled_caught:
-        await _run_out_of_time(state, exchange)
+        await _handle_deadline(state, exchange)
 
 
-async def _run_out_of_time(state: GatewayState, exchange: Exchange) -> None:
+async def _handle_deadline(state: GatewayState, exchange: Exchange) -> None:
     if exchange.started:
-        await _cut(state, exchange, 'timeout')
+        await _abort_response(state, exchange, 'timeout')
         return
     if exchange.sends.sends:
-        count_run(state, exchange.work)
+        count_run(state, exchange.admitted)
         raise RefusedError(504, RefusalReason.DEADLINE)
-    raise RefusedError(503, RefusalReason.DEADLINE, RETRY_SECONDS)
+    raise RefusedError(503, RefusalReason.DEADLINE, NOT_RUN_RETRY_SECONDS)
 
 
-async def _cut(state: GatewayState, exchange: Exchange, reason: str) -> None:
+async def _abort_response(
+    state: GatewayState, exchange: Exchange, reason: str
+) -> None:
     state.counters.cuts.labels(reason).inc()
     logger.warning(
         'Cut the answer to %s: %s; the caller sees it as unfinished',
-        exchange.work.attempt_id,
+        exchange.admitted.attempt_id,
         reason,
     )
     exchange.caller.closing = True
     exchange.caller.gone = True
-    await exchange.caller.close_at_once()
+    await exchange.caller.abort()
 
 
 async def _send_until_answered(
@@ -117,31 +121,33 @@
     while True:
         choice = await choose_or_wait(state, access.grants, exchange)
         if choice is None or isinstance(choice, ComeBack):
-            await _end_with_nothing_left(state, exchange, choice)
+            await _end_without_upstream(state, exchange, choice)
             return
         if isinstance(choice, Standing):
-            await _end_held(state, exchange, choice)
+            await _end_unsendable(state, exchange, choice)
             return
-        ended = await _send_watched(state, access, exchange, choice)
-        if isinstance(ended, Answered):
+        send_result = await _send_and_check_crash(
+            state, access, exchange, choice
+        )
+        if isinstance(send_result, Answered):
             return
-        if not await _goes_on(state, exchange, choice, ended):
+        if not await _should_send_again(state, exchange, choice, send_result):
             return
 
 
-async def _end_held(
+async def _end_unsendable(
     state: GatewayState,
     exchange: Exchange,
     standing: Standing,
 ) -> None:
     """Answer a request that may not be sent, or not now."""
     if exchange.sends.may_have_run:
-        count_run(state, exchange.work)
+        count_run(state, exchange.admitted)
     if exchange.started:
-        await _cut(state, exchange, RefusalReason.ENDS_UPSTREAMS)
+        await _abort_response(state, exchange, RefusalReason.ENDS_UPSTREAMS)
         return
     if standing is Standing.QUARANTINED:
-        raise EndsUpstreamsError(exchange.work.identity)
+        raise EndsUpstreamsError(exchange.admitted.identity)
     if exchange.sends.may_have_run:
         raise _final_refusal(NextStep.ANSWER_UNKNOWN)
     seconds = TRIAL_RETRY_SECONDS
@@ -150,106 +156,109 @@
     raise RefusedError(503, RefusalReason.TRIED_LATER, seconds)
 
 
-async def _send_watched(
+async def _send_and_check_crash(
     state: GatewayState,
     access: UpstreamAccess,
     exchange: Exchange,
     choice: Choice,
 ) -> Answered | Failed:
     """Send a request; find out whether its upstream ended under it."""
-    identity = exchange.work.identity
-    known = state.crashes.standing(identity, state.timers.now())
-    is_watched = choice.is_watched or known is not Standing.FREE
-    note_run = partial(access.crashes.note_run, identity)
+    identity = exchange.admitted.identity
+    standing = state.crashes.standing(identity, state.timers.now())
+    is_watched = choice.is_watched or standing is not Standing.FREE
+    report_run = partial(access.crash_detector.report_run, identity)
     if is_watched:
-        exchange.tell_began = partial(note_run, RunStage.BEGAN)
-    ended = await _send_or_note(state, access, exchange, choice)
-    if isinstance(ended, Failed) and ended.end is SendEnd.BROKEN:
-        await access.crashes.examine(identity, choice.upstream)
+        exchange.on_response_start = partial(report_run, RunStage.BEGAN)
+    send_result = await _send_or_queue_probe(state, access, exchange, choice)
+    if (
+        isinstance(send_result, Failed)
+        and send_result.outcome is SendEnd.BROKEN
+    ):
+        await access.crash_detector.check_broken_send(identity, choice.upstream)
     elif is_watched:
-        is_whole = isinstance(ended, Answered)
-        await note_run(RunStage.WHOLE if is_whole else RunStage.OVER)
-    return ended
+        is_complete = isinstance(send_result, Answered)
+        await report_run(RunStage.WHOLE if is_complete else RunStage.OVER)
+    return send_result
 
 
-async def _send_or_note(
+async def _send_or_queue_probe(
     state: GatewayState,
     access: UpstreamAccess,
     exchange: Exchange,
     choice: Choice,
 ) -> Answered | Failed:
     """Send a request; note its upstream if the caller's time is over first."""
-    ended: Answered | Failed | None = None
+    send_result: Answered | Failed | None = None
     began_at = state.timers.now()
     try:
-        ended = await send(state, access.pool, exchange, choice)
+        send_result = await send(state, access.pool, exchange, choice)
     finally:
-        if ended is None:
-            access.crashes.note_unanswered(
-                exchange.work.identity,
+        if send_result is None:
+            access.crash_detector.queue_unanswered(
+                exchange.admitted.identity,
                 choice.upstream,
-                max(began_at, exchange.pace.last_at),
+                max(began_at, exchange.timings.last_at),
             )
-    return ended
+    return send_result
 
 
-async def _end_with_nothing_left(
+async def _end_without_upstream(
     state: GatewayState,
     exchange: Exchange,
-    turn: ComeBack | None,
+    retry_after: ComeBack | None,
 ) -> None:
     if exchange.started:
-        await _cut(state, exchange, 'no upstream is left')
+        await _abort_response(state, exchange, 'no upstream is left')
     elif exchange.sends.may_have_run:
         raise _final_refusal(NextStep.ANSWER_UNKNOWN)
-    elif turn is None:
+    elif retry_after is None:
         raise _final_refusal(NextStep.ANSWER_NOT_RUN)
     else:
         raise RefusedError(
             503,
             RefusalReason.UPSTREAMS_LIMITED,
-            turn.seconds,
+            retry_after.seconds,
         )
 
 
-async def _goes_on(
+async def _should_send_again(
     state: GatewayState,
     exchange: Exchange,
     choice: Choice,
     failed: Failed,
 ) -> bool:
     """Note a failed send; tell whether the request is sent again."""
-    work = exchange.work
+    admitted = exchange.admitted
     exchange.tried.add(choice.upstream.lifetime)
     step = next_step(
-        failed.end,
-        work.route,
+        failed.outcome,
+        admitted.route,
         exchange.sends,
-        partial(_take_retry, state, exchange),
+        partial(_spend_retry, state, exchange),
     )
     logger.info(
         'Request %s at %s ended %s: %s; next: %s; identity %s',
-        work.attempt_id,
+        admitted.attempt_id,
         choice.upstream.lifetime,
-        failed.end,
+        failed.outcome,
         failed.reason,
         step,
-        work.identity,
+        admitted.identity,
     )
     if step is NextStep.SEND_AGAIN:
-        state.counters.retries.labels(RETRY_REASONS[failed.end]).inc()
+        state.counters.retries.labels(RETRY_REASONS[failed.outcome]).inc()
         return True
     await _end_failed(state, exchange, failed, step)
     return False
 
 
-def _take_retry(state: GatewayState, exchange: Exchange) -> bool:
+def _spend_retry(state: GatewayState, exchange: Exchange) -> bool:
     now = state.timers.now()
-    serving = state.directory.serving(exchange.work.service)
-    closed = exchange.tried | state.words.backoffs.active(now)
-    if all(row.lifetime in closed for row in serving):
+    serving = state.directory.serving(exchange.admitted.service)
+    excluded = exchange.tried | state.words.backoffs.active(now)
+    if all(row.lifetime in excluded for row in serving):
         return False
-    return state.retries.try_spend(exchange.work.service, now)
+    return state.retries.try_spend(exchange.admitted.service, now)
 
 
 async def _end_failed(
@@ -259,14 +268,14 @@
     step: NextStep,
 ) -> None:
     if step is not NextStep.ANSWER_NOT_RUN:
-        count_run(state, exchange.work)
+        count_run(state, exchange.admitted)
     if exchange.started:
-        await _cut(state, exchange, failed.reason)
+        await _abort_response(state, exchange, failed.reason)
         return
     if step is NextStep.RELAY and failed.head is not None:
-        await relay_whole(state, exchange, failed.head, failed.body)
+        await relay_buffered(state, exchange, failed.head, failed.body)
         return
-    backoff = wait_for_any(state, exchange.work.service)
+    backoff = seconds_until_backoff_ends(state, exchange.admitted.service)
     if step is NextStep.ANSWER_NOT_RUN and backoff is not None:
         raise RefusedError(503, RefusalReason.UPSTREAMS_LIMITED, backoff)
     raise _final_refusal(step)
@@ -274,5 +283,7 @@
 
 def _final_refusal(step: NextStep) -> RefusedError:
     if step is NextStep.ANSWER_NOT_RUN:
-        return RefusedError(503, RefusalReason.NO_UPSTREAM, RETRY_SECONDS)
+        return RefusedError(
+            503, RefusalReason.NO_UPSTREAM, NOT_RUN_RETRY_SECONDS
+        )
     return RefusedError(502, RefusalReason.OUTCOME_UNKNOWN)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
@@ -15,31 +15,34 @@
     NotSentError,
 )
 from spanfall_node.gateway.net.pool import ConnectionPool
-from spanfall_node.gateway.requests.refusals import PROMISES
+from spanfall_node.gateway.requests.refusals import NOT_RUN_STATUSES
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.attempt import (
     Answered,
     Exchange,
     Failed,
     count_run,
-    log_answered,
-    note_answer,
-    relay_whole,
+    log_response,
+    record_response,
+    relay_buffered,
 )
 from spanfall_node.gateway.upstreams.event_parts import EventTooLargeError
 from spanfall_node.gateway.upstreams.forwarded import (
-    answer_headers,
     is_event_stream,
+    response_headers,
     upstream_call,
 )
-from spanfall_node.gateway.upstreams.hearing import OTHER_LIFETIME, hear
+from spanfall_node.gateway.upstreams.hearing import (
+    OTHER_LIFETIME_STATUS,
+    record_statement,
+)
 
 logger = logging.getLogger(__name__)
 
 #: Seconds for a new connection to an upstream.
-CONNECT_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 #: Largest answer that is read whole before it is relayed.
-WHOLE_ANSWER_BYTES = 8_388_608
+MAX_BUFFERED_BYTES = 8_388_608
 #: Weights of failures: a server that refuses is less suspect than one that
 #: fails, one that cannot be reached more.
 REFUSED_WEIGHT = 0.3
@@ -56,15 +59,15 @@
     upstream = choice.upstream
     state.loads.begin(upstream.lifetime, choice.prefill)
     state.note_load()
-    parts = exchange.work.parts
+    parts = exchange.admitted.parts
     state.prompts.prefixes.remember(upstream.lifetime, parts)
     if not exchange.sends.sends:
         state.note_read_work(upstream.service, choice.prefill)
-    pending = Prefill(state, choice, choice.prefill, state.timers.now())
+    pending = PendingPrefill(state, choice, choice.prefill, state.timers.now())
     try:
         return await _send_over(state, pool, exchange, choice, pending)
     except NotSentError as exc:
-        _note_failure(state, choice, UNREACHABLE_WEIGHT)
+        _record_failure(state, choice, UNREACHABLE_WEIGHT)
         return Failed(SendEnd.NOT_SENT, exc.reason)
     finally:
         pending.done()
@@ -73,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Prefill:
+class PendingPrefill:
     """Hold the prompt tokens that an upstream has still to read for us."""
 
     state: GatewayState
@@ -104,22 +107,22 @@
     pool: ConnectionPool,
     exchange: Exchange,
     choice: Choice,
-    pending: Prefill,
+    pending: PendingPrefill,
 ) -> Answered | Failed:
     upstream = choice.upstream
     conn = await pool.take(
         upstream.lifetime,
         upstream.address,
-        CONNECT_SECONDS,
+        CONNECT_TIMEOUT_SECONDS,
     )
     exchange.sends.sends += 1
     try:
-        return await _talk(state, exchange, choice, conn, pending)
+        return await _send_and_receive(state, exchange, choice, conn, pending)
     except CallerGoneError:
         await conn.close()
         raise
     except (BrokenCallError, EventTooLargeError) as exc:
-        _note_failure(state, choice, 1)
+        _record_failure(state, choice, 1)
         return Failed(SendEnd.BROKEN, _reason(exc))
     finally:
         with anyio.CancelScope(shield=True):
@@ -132,67 +135,67 @@
     return type(exc).__name__
 
 
-def _note_failure(state: GatewayState, choice: Choice, weight: float) -> None:
+def _record_failure(state: GatewayState, choice: Choice, weight: float) -> None:
     now = state.timers.now()
     state.loads.fail(choice.upstream.lifetime, now, weight)
 
 
-def _note_refusal(state: GatewayState, choice: Choice) -> None:
+def _record_refusal(state: GatewayState, choice: Choice) -> None:
     """Count a refusal, unless its upstream asked for a back-off with it.
 
     A back-off says all: after it the upstream is served as before.
     """
     avoided = state.words.backoffs.active(state.timers.now())
     if choice.upstream.lifetime not in avoided:
-        _note_failure(state, choice, REFUSED_WEIGHT)
+        _record_failure(state, choice, REFUSED_WEIGHT)
 
 
-async def _talk(
+async def _send_and_receive(
     state: GatewayState,
     exchange: Exchange,
     choice: Choice,
     conn: Connection,
-    pending: Prefill,
+    pending: PendingPrefill,
 ) -> Answered | Failed:
-    work = exchange.work
+    admitted = exchange.admitted
     names = state.platform.names
     call = upstream_call(
         names,
-        work,
+        admitted,
         choice.upstream.upstream_id,
         exchange.events.last_id,
-        work.deadline - state.timers.now(),
+        admitted.deadline - state.timers.now(),
     )
-    wanted = work.attempt_id.encode('latin-1')
+    expected_id = admitted.attempt_id.encode('latin-1')
     lifetime = choice.upstream.lifetime
     sent_at = state.timers.now()
 
-    def is_ours(head: AnswerHead) -> bool:
+    def is_for_request(head: AnswerHead) -> bool:
         # One that is dropped was given by the same upstream.
-        hear(state, lifetime, head, sent_at)
+        record_statement(state, lifetime, head, sent_at)
         answered = head.header(names.attempt_id)
         if answered:
-            return answered == wanted
+            return answered == expected_id
         return head.status >= 300
 
-    host = work.req.header(b'host')
-    head = await conn.send_and_read_head(call, host, is_ours)
+    host = admitted.req.header(b'host')
+    head = await conn.send_and_read_head(call, host, is_for_request)
     if is_event_stream(head) and head.status == 200:
-        ended = await _relay_stream(state, exchange, head, conn, pending)
-        if isinstance(ended, Answered):
-            log_answered(state, exchange, lifetime, head.status)
-        return ended
-    body = await conn.read_body(WHOLE_ANSWER_BYTES)
-    failed = _classified(state, choice, head, body)
+        send_result = await _relay_stream(state, exchange, head, conn, pending)
+        if isinstance(send_result, Answered):
+            log_response(state, exchange, lifetime, head.status)
+        return send_result
+    body = await conn.read_body(MAX_BUFFERED_BYTES)
+    failed = _classify_failure(state, choice, head, body)
     if failed is not None:
         return failed
-    count_run(state, work)
-    await relay_whole(state, exchange, head, body)
-    log_answered(state, exchange, lifetime, head.status)
+    count_run(state, admitted)
+    await relay_buffered(state, exchange, head, body)
+    log_response(state, exchange, lifetime, head.status)
     return Answered()
 
 
-def _classified(
+def _classify_failure(
     state: GatewayState,
     choice: Choice,
     head: AnswerHead,
@@ -200,22 +203,22 @@
 ) -> Failed | None:
     """Return how a whole answer failed, or None if it is relayed."""
     names = state.platform.names
-    if head.status == OTHER_LIFETIME:
+    if head.status == OTHER_LIFETIME_STATUS:
         state.directory.end(choice.upstream.lifetime)
         return Failed(SendEnd.OTHER_LIFETIME, 'another lifetime answers there')
     if head.header(names.not_run):
-        if head.status in PROMISES:
-            _note_refusal(state, choice)
+        if head.status in NOT_RUN_STATUSES:
+            _record_refusal(state, choice)
             return Failed(SendEnd.REFUSED, f'refused with {head.status}')
         return None
-    if head.status in PROMISES:
-        _note_failure(state, choice, 1)
+    if head.status in NOT_RUN_STATUSES:
+        _record_failure(state, choice, 1)
         return Failed(SendEnd.BROKEN, f'{head.status} but may have run')
     if head.status >= 500:
-        _note_failure(state, choice, 1)
+        _record_failure(state, choice, 1)
         return Failed(SendEnd.FAILED, f'failed with {head.status}', head, body)
     if head.status < 300 and not head.header(names.signature):
-        _note_failure(state, choice, 1)
+        _record_failure(state, choice, 1)
         return Failed(SendEnd.BROKEN, 'success without a signature')
     return None
 
@@ -225,39 +228,39 @@
     exchange: Exchange,
     head: AnswerHead,
     conn: Connection,
-    pending: Prefill,
+    pending: PendingPrefill,
 ) -> Answered | Failed:
     if not head.header(state.platform.names.signature):
         return Failed(SendEnd.BROKEN, 'a stream without a signature')
-    exchange.events.restart()
+    exchange.events.discard_partial()
     while True:
         part = await conn.read_part()
         if part is None:
             break
         pending.first_token()
-        count_run(state, exchange.work)
+        count_run(state, exchange.admitted)
         whole = exchange.events.feed(part)
         if whole:
-            exchange.pace.note(state.timers.now())
-            await _start(state, exchange, head)
+            exchange.timings.record(state.timers.now())
+            await _start_response(state, exchange, head)
             await exchange.caller.send_part(whole)
-    await _start(state, exchange, head)
-    if exchange.events.rest:
-        await exchange.caller.send_part(exchange.events.rest)
+    await _start_response(state, exchange, head)
+    if exchange.events.partial_event:
+        await exchange.caller.send_part(exchange.events.partial_event)
     await exchange.caller.send_end()
     return Answered()
 
 
-async def _start(
+async def _start_response(
     state: GatewayState,
     exchange: Exchange,
     head: AnswerHead,
 ) -> None:
     if exchange.started:
         return
-    if exchange.tell_began is not None:
-        await exchange.tell_began()
-    headers = answer_headers(head, None, exchange.work.req.method)
+    if exchange.on_response_start is not None:
+        await exchange.on_response_start()
+    headers = response_headers(head, None, exchange.admitted.req.method)
     exchange.started = True
     await exchange.caller.send_head(head.status, headers)
-    note_answer(state, exchange, head.status)
+    record_response(state, exchange, head.status)
--- a/tests/arrivals.py
+++ b/tests/arrivals.py
@@ -16,23 +16,25 @@
     entry: str
 
 
-def note_arrivals(upstream):
+def record_arrivals(upstream):
     """Note each request that reaches an upstream from now on."""
     arrivals = []
     answer = upstream.behaviour
 
-    async def noting(one, seen, stream):
+    async def recording(one, seen, stream):
         entry = seen.headers['attempt'].partition('/')[0]
         arrivals.append(Arrival(anyio.current_time(), entry))
         return await answer(one, seen, stream)
 
-    upstream.behaviour = noting
+    upstream.behaviour = recording
     return arrivals
 
 
-def arrived_after(arrivals, told, seconds):
+def arrived_after(arrivals, informed_at, seconds):
     """Return what came from an entry later than so long after it was told."""
     never = float('inf')
     return [
-        one for one in arrivals if one.at > told.get(one.entry, never) + seconds
+        one
+        for one in arrivals
+        if one.at > informed_at.get(one.entry, never) + seconds
     ]
--- a/tests/test_gateway_admission.py
+++ b/tests/test_gateway_admission.py
@@ -6,37 +6,40 @@
 import pytest
 from spanfall_core.reasons import RefusalReason
 from spanfall_node.gateway.callers import callers as module
-from spanfall_node.gateway.callers.callers import MOST_ADMIT_SECONDS, Callers
+from spanfall_node.gateway.callers.callers import (
+    MAX_ADMISSION_WAIT_SECONDS,
+    Callers,
+)
 from spanfall_node.gateway.requests.refusals import RefusedError
 from support import run_async
 
 WORK = object()
 #: What a look at the clock adds, as if the wait had taken it.
-STEP = 0.03
+CLOCK_STEP = 0.03
 
 
-def admit_after(monkeypatch, refusals, *, may_pass):
+def admit_after_refusals(monkeypatch, refusals, *, is_transient):
     """Refuse a request so many times, then admit it.
 
     Return what came of it and how often it was tried.
     """
     times = iter(range(1000))
-    left = list(repeat(may_pass, refusals))
+    transient_flags = list(repeat(is_transient, refusals))
     tries = []
 
     def admit(*_):
         tries.append(1)
-        if left:
+        if transient_flags:
             refused = RefusedError(
                 503,
                 RefusalReason.NODE_NOT_READY,
-                may_pass=left.pop(),
+                is_transient=transient_flags.pop(),
             )
             raise refused
         return WORK
 
     monkeypatch.setattr(module, 'admit', admit)
-    timers = SimpleNamespace(now=lambda: next(times) * STEP)
+    timers = SimpleNamespace(now=lambda: next(times) * CLOCK_STEP)
     entry = Callers(SimpleNamespace(timers=timers), None, None)
     outcome = []
 
@@ -51,22 +54,22 @@
 
 
 @pytest.mark.parametrize('refusals', [0, 1, 3])
-def test_a_starting_node_answers_who_waits(monkeypatch, refusals):
+def test_requests_wait_for_a_starting_node(monkeypatch, refusals):
     """Callers come back in the moment in which a node listens again.
 
     The first read of the configuration takes 20 ms, the home's first table
     another 100 ms; a refused caller comes back later than any target.
     """
-    outcome = admit_after(monkeypatch, refusals, may_pass=True)
+    outcome = admit_after_refusals(monkeypatch, refusals, is_transient=True)
     assert outcome == (WORK, refusals + 1)
 
 
-def test_the_wait_has_a_bound(monkeypatch):
-    reason, tries = admit_after(monkeypatch, 50, may_pass=True)
+def test_the_wait_is_bounded(monkeypatch):
+    reason, tries = admit_after_refusals(monkeypatch, 50, is_transient=True)
     assert reason is RefusalReason.NODE_NOT_READY
-    assert tries == MOST_ADMIT_SECONDS // STEP + 1
+    assert tries == MAX_ADMISSION_WAIT_SECONDS // CLOCK_STEP + 1
 
 
-def test_what_will_not_pass_is_refused_at_once(monkeypatch):
-    reason, tries = admit_after(monkeypatch, 50, may_pass=False)
+def test_permanent_refusals_are_immediate(monkeypatch):
+    reason, tries = admit_after_refusals(monkeypatch, 50, is_transient=False)
     assert (reason, tries) == (RefusalReason.NODE_NOT_READY, 1)
--- a/tests/test_gateway_asked_backoff.py
+++ b/tests/test_gateway_asked_backoff.py
@@ -21,9 +21,9 @@
 BACKOFF_SECONDS = 2.0
 #: From when on the back-off binds, and the requests that may come in it.
 BINDS_AFTER = 0.5
-MOST = 2
-STEP = 0.05
-TURNS_AWAY = {'back-off': str(BACKOFF_SECONDS)}
+MAX_REQUESTS = 2
+PAUSE = 0.05
+BACKOFF_HEADERS = {'back-off': str(BACKOFF_SECONDS)}
 NUMBERS = count()
 
 
@@ -33,8 +33,8 @@
     def __init__(self, upstream):
         self.upstream = upstream
         self.arrivals = []
-        self.asked = {}
-        self.answers = whole()
+        self.backoff_sent_at = {}
+        self.respond = whole()
         upstream.behaviour = self._answer
 
     async def _answer(self, one, seen, stream):
@@ -42,19 +42,19 @@
         now = anyio.current_time()
         self.arrivals.append((now, entry))
         if 'back-off' in one.says:
-            self.asked.setdefault(entry, now)
-        return await self.answers(one, seen, stream)
+            self.backoff_sent_at.setdefault(entry, now)
+        return await self.respond(one, seen, stream)
 
-    def turn_away(self):
+    def start_refusing(self):
         """Turn away from now on and ask for a back-off."""
-        self.answers = refused()
-        self.upstream.says = TURNS_AWAY
+        self.respond = refused()
+        self.upstream.says = BACKOFF_HEADERS
 
-    def in_backoff(self, entry):
+    def count_in_backoff(self, entry):
         """Return how many requests of an entry came in its back-off."""
-        asked = self.asked[entry]
-        binds = asked + BINDS_AFTER
-        ends = asked + BACKOFF_SECONDS
+        backoff_sent_at = self.backoff_sent_at[entry]
+        binds = backoff_sent_at + BINDS_AFTER
+        ends = backoff_sent_at + BACKOFF_SECONDS
         return sum(
             binds < at < ends for at, sender in self.arrivals if sender == entry
         )
@@ -67,45 +67,45 @@
     while anyio.current_time() < until:
         attempt = f'{state.cfg.node}/{next(NUMBERS)}'
         answers.append(await ask(state, '/any/1', attempt=attempt))
-        await anyio.sleep(STEP)
+        await anyio.sleep(PAUSE)
     return answers
 
 
-async def call_until_asked(state, busy):
-    while state.cfg.node not in busy.asked:
-        await call(state, STEP)
+async def call_until_backoff(state, busy):
+    while state.cfg.node not in busy.backoff_sent_at:
+        await call(state, PAUSE)
 
 
 @pytest.mark.parametrize('others', (0, 1))
-def test_a_backoff_is_kept(others):
+def test_entries_respect_a_backoff(other_upstreams):
     @in_world
     async def play(world):
         busy = BusyUpstream(await world.add_upstream(whole()))
-        for _ in range(others):
+        for _ in range(other_upstreams):
             await world.add_upstream(whole())
         gateways = [await world.add_gateway() for _ in range(2)]
-        busy.turn_away()
+        busy.start_refusing()
         entry = gateways[1].cfg.node
-        await call_until_asked(gateways[1], busy)
+        await call_until_backoff(gateways[1], busy)
         await call(gateways[1], BACKOFF_SECONDS)
-        assert busy.in_backoff(entry) <= MOST
+        assert busy.count_in_backoff(entry) <= MAX_REQUESTS
 
     play()
 
 
 @in_world
-async def test_who_meets_a_backoff_is_told_its_end(world):
+async def test_refusals_state_the_remaining_backoff(world):
     """At once, with that time; then it is served as before."""
     busy = BusyUpstream(await world.add_upstream(whole()))
     state = await world.add_gateway()
-    busy.turn_away()
+    busy.start_refusing()
     refusals = [await ask(state, '/any/1', attempt=name) for name in 'abc']
     assert {one.status for one in refusals} == {503}
     seconds = [float(one.headers['retry-after']) for one in refusals]
     assert seconds == sorted(seconds, reverse=True)
     assert BACKOFF_SECONDS >= seconds[0] and seconds[-1] > 0
     assert len(busy.arrivals) == 1
-    busy.answers = whole()
+    busy.respond = whole()
     busy.upstream.says = {}
     await anyio.sleep(seconds[-1])
     served = await ask(state, '/any/1', attempt='d')
@@ -114,13 +114,13 @@
 
 
 @in_world
-async def test_a_backoff_is_asked_of_one_entry(world):
+async def test_a_backoff_applies_to_one_entry(world):
     """The home that grants for another entry has no back-off itself."""
     busy = BusyUpstream(await world.add_upstream(whole()))
     home, other = await two_gateways(world)
-    busy.turn_away()
+    busy.start_refusing()
     refused_once = await ask(other, '/any/1', attempt='o/1')
-    busy.answers = whole()
+    busy.respond = whole()
     busy.upstream.says = {}
     served = await ask(home, '/any/1', attempt='h/1')
     kept = await ask(other, '/any/1', attempt='o/2')
@@ -140,7 +140,7 @@
     assert not backoffs.named(5)
 
 
-def test_the_home_is_told_the_latest():
+def test_the_home_receives_the_latest_backoffs():
     """A grant for one of the others is not used, as the entry knows it."""
     backoffs = Backoffs()
     for number in range(2 * MOST_NAMED):
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -18,7 +18,10 @@
     GrantBook,
 )
 from spanfall_node.gateway.links.messages import GrantMessage
-from spanfall_node.gateway.upstreams.grants import ALONE_SECONDS, Grants
+from spanfall_node.gateway.upstreams.grants import (
+    LOCAL_DECISION_SECONDS,
+    GrantClient,
+)
 from spanfall_standins.gateway.upstream import whole
 from support import wait_until
 from test_gateway_home import two_gateways
@@ -113,7 +116,7 @@
         await world.add_upstream(whole())
     await wait_until(lambda: len(home.directory.rows) == 2)
     await wait_until(lambda: len(other.directory.rows) == 2)
-    grants = Grants(home)
+    grants = GrantClient(home)
     asked = Ask('a1', 'north')
     first = await grants.choose(SERVICE, asked)
     home.loads.begin(first.upstream.upstream_id, 0)
@@ -137,14 +140,14 @@
     async def never_answered(message):
         asked.append(message.number)
 
-    grants = Grants(state)
+    grants = GrantClient(state)
     grants.connect(never_answered)
     for number in range(3):
         choice = await grants.choose(SERVICE, Ask(f'a{number}', 'north'))
         assert choice is not None
     assert asked == [1]
     assert grants.load().seen == 1
-    await anyio.sleep(ALONE_SECONDS)
+    await anyio.sleep(LOCAL_DECISION_SECONDS)
     assert await grants.choose(SERVICE, Ask('a4', 'north'))
     assert asked == [1, 2]
 
@@ -155,11 +158,11 @@
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
     state.tenure = None
-    grants = Grants(state)
+    grants = GrantClient(state)
 
     async def grant_gone(message):
         number = message.number
-        grants.learn(GrantMessage(number, Grant(number, 'gone', 0)))
+        grants.accept_answer(GrantMessage(number, Grant(number, 'gone', 0)))
 
     grants.connect(grant_gone)
     choice = await grants.choose(SERVICE, Ask('a1', 'north'))
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -9,7 +9,7 @@
 
 
 @in_world
-async def test_keys_are_refused_when_the_store_is_away(world):
+async def test_keys_are_refused_while_the_store_is_unreachable(world):
     """A revoked key must not work longer than the bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
@@ -26,7 +26,7 @@
 
 
 @in_world
-async def test_keys_work_on_where_nothing_demands_else(world):
+async def test_keys_stay_valid_where_revocation_is_not_bounded(world):
     """The store is away for longer than the bound; callers are served."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
@@ -44,7 +44,7 @@
 
 
 @in_world
-async def test_keys_are_checked_and_not_passed_on(world):
+async def test_keys_are_checked_and_not_forwarded(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
--- a/tests/test_gateway_named_limit.py
+++ b/tests/test_gateway_named_limit.py
@@ -13,7 +13,7 @@
 
 import anyio
 import pytest
-from arrivals import note_arrivals
+from arrivals import record_arrivals
 from gateway_world import ask, in_world
 from named_limit_checker import (
     SPAN,
@@ -21,7 +21,7 @@
     arrived_from_told,
     most_in_a_span,
 )
-from spanfall_node.gateway.upstreams.choosing import TURN_STEP
+from spanfall_node.gateway.upstreams.choosing import MIN_PERMIT_WAIT_SECONDS
 from spanfall_standins.gateway.upstream import whole
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
@@ -40,7 +40,7 @@
     """Hold what callers and one upstream saw."""
 
     def __init__(self, upstream):
-        self.arrivals = note_arrivals(upstream)
+        self.arrivals = record_arrivals(upstream)
         self.passed_on = {}
         self.statuses = []
         self.came_back_in = []
@@ -125,7 +125,9 @@
     assert len(observer.arrivals) - before >= USED * rate * SPAN
     assert set(observer.statuses) == {200, 503}
     turns = observer.came_back_in
-    assert all(TURN_STEP <= seconds <= SPAN + 1 for seconds in turns)
+    assert all(
+        MIN_PERMIT_WAIT_SECONDS <= seconds <= SPAN + 1 for seconds in turns
+    )
 
 
 @in_world
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -17,7 +17,7 @@
 )
 
 
-def runs(world: World) -> int:
+def count_sent(world: World) -> int:
     """Return how many requests reached upstreams."""
     return sum(len(row.seen) for row in world.upstreams.values())
 
@@ -40,7 +40,7 @@
 
 
 @in_world
-async def test_what_only_nodes_set_is_dropped(world):
+async def test_headers_reserved_for_nodes_are_dropped(world):
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
     await ask(state, '/once/7', workspace='other', lifetime_wanted='u-9')
@@ -73,7 +73,7 @@
 
 
 @in_world
-async def test_all_refuse_so_nothing_ran(world):
+async def test_refusals_by_all_upstreams_give_503(world):
     await world.add_upstream(refused())
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
@@ -88,7 +88,7 @@
     await world.add_upstream(raw())
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
-    assert (answer.status, runs(world)) == (502, 1)
+    assert (answer.status, count_sent(world)) == (502, 1)
 
 
 @in_world
@@ -97,7 +97,7 @@
     await world.add_upstream(in_turn(raw(), whole()))
     state = await world.add_gateway()
     first = await ask(state, '/any/7', attempt='a1')
-    assert (first.status, runs(world)) == (502, 2)
+    assert (first.status, count_sent(world)) == (502, 2)
     second = await ask(state, '/any/7', attempt='a2')
     assert second.status == 200
 
@@ -112,7 +112,7 @@
 
 
 @in_world
-async def test_a_promise_without_its_mark_is_dropped(world):
+async def test_a_not_run_status_without_its_header_is_dropped(world):
     """An upstream that ran a request must not look as if it had not."""
     await world.add_upstream(whole(503, b'busy'))
     state = await world.add_gateway()
@@ -121,7 +121,7 @@
 
 
 @in_world
-async def test_a_late_answer_to_another_is_dropped(world):
+async def test_a_late_answer_to_another_request_is_dropped(world):
     late = WHOLE.replace(b'{id}', b'zz')
     await world.add_upstream(raw(late, WHOLE, keep=True))
     state = await world.add_gateway()
@@ -142,7 +142,7 @@
 
 
 @in_world
-async def test_a_truncated_answer_is_no_answer(world):
+async def test_a_truncated_answer_is_dropped(world):
     await world.add_upstream(raw(WHOLE[:-2]))
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
@@ -150,7 +150,7 @@
 
 
 @in_world
-async def test_bytes_that_are_no_answer(world):
+async def test_a_malformed_answer_is_a_bad_gateway(world):
     await world.add_upstream(raw(b'garbage\r\n\r\n'))
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
@@ -158,7 +158,7 @@
 
 
 @in_world
-async def test_the_end_of_a_routes_time(world):
+async def test_a_route_timeout_ends_the_request(world):
     """The answer goes out at the timeout, and the upstream is let go."""
     upstream = await world.add_upstream(silent())
     state = await world.add_gateway()
@@ -180,7 +180,7 @@
 
 
 @in_world
-async def test_another_lifetime_is_never_asked_again(world):
+async def test_a_replaced_lifetime_is_not_asked_again(world):
     upstream = await world.add_upstream(
         raw(b'HTTP/1.1 421 X\r\ncontent-length: 0\r\n\r\n')
     )
@@ -226,7 +226,7 @@
 
 
 @in_world
-async def test_limits_of_the_configuration_in_force(world):
+async def test_configured_size_limits_apply(world):
     world.configure(body_bytes=100, header_bytes=300)
     await world.add_upstream(whole())
     state = await world.add_gateway()
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -15,7 +15,7 @@
 import anyio
 import msgspec
 import pytest
-from arrivals import arrived_after, note_arrivals
+from arrivals import arrived_after, record_arrivals
 from gateway_world import SERVICE, ask, in_world
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.listed import ListedUpstream
@@ -26,26 +26,26 @@
 from test_gateway_succession import ending_gateway, is_home
 
 #: Seconds after an entry passed on the word in which requests may still come.
-DRAIN = 2.0
+DRAIN_SECONDS = 2.0
 PAUSE = 0.05
 ENTRIES = 3
 LEAVING = {'leaves': '1'}
-BROKEN_OFF = (
+TRUNCATED = (
     b'HTTP/1.1 200 OK\r\nattempt: {id}\r\nsigned: s\r\nleaves: 1\r\n'
     b'content-length: 40\r\n\r\nhalf'
 )
-OTHERS_ANSWER = (
+MISMATCHED = (
     b'HTTP/1.1 200 OK\r\nattempt: other\r\nsigned: s\r\nleaves: 1\r\n'
     b'content-length: 4\r\n\r\ndone'
 )
 
 
-class Leaver:
+class LeavingUpstream:
     """Hold what callers and the upstream that leaves saw."""
 
     def __init__(self, upstream):
-        self.arrivals = note_arrivals(upstream)
-        self.passed_on = {}
+        self.arrivals = record_arrivals(upstream)
+        self.first_relayed_at = {}
         self.statuses = []
 
     async def call(self, gateways, seconds):
@@ -59,29 +59,31 @@
             answer = await ask(state, '/any/1', attempt=f'{entry}/{number}')
             self.statuses.append(answer.status)
             if 'leaves' in answer.headers:
-                self.passed_on.setdefault(entry, anyio.current_time())
+                self.first_relayed_at.setdefault(entry, anyio.current_time())
             await anyio.sleep(PAUSE)
 
-    def late(self):
+    def late_arrivals(self):
         """Return what arrived later than allowed after an entry was told."""
-        return arrived_after(self.arrivals, self.passed_on, DRAIN)
+        return arrived_after(
+            self.arrivals, self.first_relayed_at, DRAIN_SECONDS
+        )
 
 
 @pytest.mark.parametrize('failing', (0, 503))
-def test_one_that_says_so_gets_nothing_more(failing):
+def test_a_leaving_upstream_gets_no_more_requests(failing):
     """Its entry says that it is ready, or cannot be read at all."""
 
     @in_world
     async def play(world):
         upstreams = [await world.add_upstream(whole()) for _ in range(2)]
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
-        leaver = Leaver(upstreams[0])
+        leaving = LeavingUpstream(upstreams[0])
         world.store.failing = failing
         upstreams[0].says = LEAVING
-        await leaver.call(gateways, 2 * DRAIN)
-        assert leaver.passed_on
-        assert not leaver.late()
-        assert set(leaver.statuses) == {200}
+        await leaving.call(gateways, 2 * DRAIN_SECONDS)
+        assert leaving.first_relayed_at
+        assert not leaving.late_arrivals()
+        assert set(leaving.statuses) == {200}
 
     play()
 
@@ -91,7 +93,7 @@
 
 
 @in_world
-async def test_all_nodes_know_what_one_heard(world):
+async def test_a_leaving_statement_reaches_all_nodes(world):
     """A new home too, and those who start later; its entry says ready."""
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
     left = {upstreams[1].lifetime}
@@ -99,7 +101,7 @@
         await wait_until(lambda: is_home(home))
         others = [await world.add_gateway() for _ in range(2)]
         upstreams[0].says = LEAVING
-        await hear_once(others[0], upstreams[0])
+        await call_until_received(others[0], upstreams[0])
         await wait_until(
             lambda: all(serving(one) == left for one in (home, *others)),
         )
@@ -116,7 +118,7 @@
     assert len(upstreams[0].seen) == before
 
 
-async def hear_once(state, upstream):
+async def call_until_received(state, upstream):
     """Send requests to an entry until one has reached an upstream."""
     before = len(upstream.seen)
     number = 0
@@ -126,7 +128,7 @@
 
 
 @in_world
-async def test_the_last_one_that_leaves_gets_nothing(world):
+async def test_the_only_upstream_gets_nothing_once_it_leaves(world):
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
     upstream.says = LEAVING
@@ -137,7 +139,7 @@
 
 
 @in_world
-async def test_another_lifetime_there_is_served(world):
+async def test_a_new_lifetime_at_the_address_is_served(world):
     """What one lifetime said does not hold for the next at its address."""
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
@@ -156,9 +158,9 @@
 
 @pytest.mark.parametrize(
     'behaviour',
-    (whole(500), refused(), raw(BROKEN_OFF), raw(OTHERS_ANSWER)),
+    (whole(500), refused(), raw(TRUNCATED), raw(MISMATCHED)),
 )
-def test_the_word_counts_however_the_answer_ends(behaviour):
+def test_a_leaving_statement_counts_however_the_answer_ends(behaviour):
     """A failure, a refusal, one that breaks off, one to another request."""
 
     @in_world
@@ -175,7 +177,7 @@
 LISTED = ListedUpstream('u-1', SERVICE, '', 'north', slots=4)
 
 
-def test_no_listing_takes_the_word_back():
+def test_no_listing_revokes_a_leaving_statement():
     """Neither a newer one that says ready, nor one of another node."""
     said = set()
     directory = Directory(said)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -5,7 +5,7 @@
 from spanfall_standins.gateway.upstream import events, resumable
 
 
-def text_of(first, last):
+def event_text(first, last):
     return b''.join(
         b'id: %d\ndata: x\n\n' % number for number in range(first, last + 1)
     )
@@ -17,27 +17,27 @@
     state = await world.add_gateway()
     answer = await ask(state, '/stream/7')
     assert (answer.status, answer.complete) == (200, True)
-    assert answer.body == text_of(1, 4)
+    assert answer.body == event_text(1, 4)
     assert answer.headers['signed'] == 'u-1.a1'
 
 
 @in_world
-async def test_a_broken_stream_looks_broken(world):
+async def test_a_broken_stream_is_visibly_incomplete(world):
     """The caller sees whole events only, and no proper end."""
     await world.add_upstream(events(1, 2, ends=False))
     state = await world.add_gateway()
     answer = await ask(state, '/stream/7')
-    assert (answer.complete, answer.body) == (False, text_of(1, 2))
+    assert (answer.complete, answer.body) == (False, event_text(1, 2))
 
 
 @in_world
-async def test_a_broken_stream_goes_on_elsewhere(world):
+async def test_a_broken_stream_resumes_elsewhere(world):
     first = await world.add_upstream(resumable(4, breaks_after=2))
     second = await world.add_upstream(resumable(4, breaks_after=2))
     state = await world.add_gateway()
     answer = await ask(state, '/resume/7')
     resumed = [*first.seen, *second.seen]
-    assert (answer.complete, answer.body) == (True, text_of(1, 4))
+    assert (answer.complete, answer.body) == (True, event_text(1, 4))
     assert {row.headers.get('last-event-id') for row in resumed} == {None, '2'}
     assert (len(first.seen), len(second.seen)) == (1, 1)
 
@@ -48,5 +48,5 @@
     for cut, _ in enumerate(content):
         splitter = EventSplitter()
         parts = splitter.feed(content[:cut]) + splitter.feed(content[cut:])
-        assert (parts, splitter.rest) == (whole, b'id: 3\nda')
+        assert (parts, splitter.partial_event) == (whole, b'id: 3\nda')
         assert splitter.last_id == b'2'
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -12,8 +12,8 @@
 from spanfall_core.gateway.known.unit_reports import EntrySpending, GivenUnits
 from spanfall_core.gateway.limits.quotas import Quotas
 from spanfall_node.gateway.limits.unit_requests import (
-    UNITS_SECONDS,
-    UnitRequests,
+    UNITS_TIMEOUT_SECONDS,
+    UnitClient,
 )
 from spanfall_node.gateway.links.messages import UnitsMessage
 from spanfall_node.gateway.store.quota_record import (
@@ -53,14 +53,14 @@
 def obtain(answers, units=50, state=None):
     """Ask for units; the home answers with the units given, if it does."""
     state = state or entry_that_holds(10)
-    requests = UnitRequests(state)
+    requests = UnitClient(state)
     asked = []
 
     async def send(message):
         asked.append(message.units)
         for lent in answers:
             answer = UnitsMessage(message.number, message.workspace, lent)
-            requests.learn(answer)
+            requests.accept_answer(answer)
 
     async def main():
         requests.connect(send)
@@ -92,7 +92,7 @@
 def test_an_answer_that_comes_late_counts():
     """The home counts it as held here, so it must not be lost."""
     state = entry_that_holds(10)
-    requests = UnitRequests(state)
+    requests = UnitClient(state)
 
     async def main():
         async with anyio.create_task_group() as tasks:
@@ -101,8 +101,8 @@
                 tasks.start_soon(answer_late, message)
 
             async def answer_late(message):
-                await anyio.sleep(UNITS_SECONDS * 2)
-                requests.learn(UnitsMessage(message.number, 'w', 40))
+                await anyio.sleep(UNITS_TIMEOUT_SECONDS * 2)
+                requests.accept_answer(UnitsMessage(message.number, 'w', 40))
 
             requests.connect(send)
             assert not await requests.obtain('w', 50)
--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -13,7 +13,7 @@
 
 import anyio
 import pytest
-from arrivals import arrived_after, note_arrivals
+from arrivals import arrived_after, record_arrivals
 from gateway_world import ask, in_world
 from named_limit_checker import SPAN, TOLD_AFTER, allowed
 from spanfall_standins.gateway.upstream import whole
@@ -21,15 +21,15 @@
 from test_gateway_succession import is_home
 
 SEEDS = int(os.environ.get('SPANFALL_SEEDS', '1'))
-SECONDS = 12.0
+DURATION_SECONDS = 12.0
 PAUSE = 0.06
 ENTRIES = 3
 UPSTREAMS = 3
 #: Seconds after which a limit binds that was first named.
-CONTACT = 3.0
+FIRST_LIMIT_GRACE_SECONDS = 3.0
 #: Seconds after it said so in which one that leaves may get requests of an
 #: entry that passed that on.
-DRAIN = 2.0
+DRAIN_SECONDS = 2.0
 RATES = (0, 0.5, 1, 3, 10)
 
 
@@ -37,65 +37,69 @@
     return anyio.current_time() >= until
 
 
-class Watched:
+class ObservedUpstream:
     """Hold one upstream, what it said when, and what reached it."""
 
     def __init__(self, upstream):
         self.upstream = upstream
         #: Time and rate of each word; no rate: none is named.
-        self.named = [(anyio.current_time(), None)]
-        self.arrivals = note_arrivals(upstream)
+        self.statements = [(anyio.current_time(), None)]
+        self.arrivals = record_arrivals(upstream)
         #: When each entry first passed on each word.
-        self.limits_passed_on = {}
-        self.leaving_passed_on = {}
+        self.limits_relayed_at = {}
+        self.leaving_relayed_at = {}
 
-    def name(self, rate):
-        self.named.append((anyio.current_time(), rate))
+    def state_limit(self, rate):
+        self.statements.append((anyio.current_time(), rate))
         self.upstream.says.pop('takes-a-second', None)
         if rate is not None:
             self.upstream.says['takes-a-second'] = str(rate)
 
-    def passes_limit(self, end):
+    def exceeds_limit(self, end):
         """Tell whether the span that ends at a time holds too much."""
         begin = end - SPAN - TOLD_AFTER
-        later = [*(at for at, _ in self.named[1:]), float('inf')]
+        later = [*(at for at, _ in self.statements[1:]), float('inf')]
         in_force = [
             rate
-            for (_, rate), until in zip(self.named, later, strict=True)
+            for (_, rate), until in zip(self.statements, later, strict=True)
             if until > begin
         ]
         since = min(
-            (at for at, rate in self.named if rate is not None),
+            (at for at, rate in self.statements if rate is not None),
             default=float('inf'),
         )
-        if None in in_force or end < since + CONTACT:
+        if None in in_force or end < since + FIRST_LIMIT_GRACE_SECONDS:
             return False
-        told = arrived_after(self.arrivals, self.limits_passed_on, TOLD_AFTER)
-        count = sum(end - SPAN < one.at <= end for one in told)
+        from_informed = arrived_after(
+            self.arrivals, self.limits_relayed_at, TOLD_AFTER
+        )
+        count = sum(end - SPAN < one.at <= end for one in from_informed)
         return count > allowed(max(in_force))
 
-    def late(self):
+    def late_arrivals(self):
         """Return what came from entries that had passed on that it leaves."""
-        return arrived_after(self.arrivals, self.leaving_passed_on, DRAIN)
+        return arrived_after(
+            self.arrivals, self.leaving_relayed_at, DRAIN_SECONDS
+        )
 
 
-class Course:
+class Scenario:
     """Hold a fleet, its upstreams and what callers got."""
 
-    def __init__(self, world, luck):
+    def __init__(self, world, rng):
         self.world = world
-        self.luck = luck
+        self.rng = rng
         self.gateways = []
-        self.watched = {}
+        self.observed = {}
         self.statuses = []
         self.number = 0
-        self.life = anyio.CancelScope()
+        self.home_scope = anyio.CancelScope()
 
     async def start(self):
         for _ in range(UPSTREAMS):
             upstream = await self.world.add_upstream(whole())
-            self.watched[upstream.lifetime] = Watched(upstream)
-        home = await self.world.add_ending_gateway(self.life)
+            self.observed[upstream.lifetime] = ObservedUpstream(upstream)
+        home = await self.world.add_ending_gateway(self.home_scope)
         self.gateways.append(home)
         await wait_until(lambda: is_home(home))
         for _ in range(ENTRIES - 1):
@@ -121,55 +125,55 @@
         self.statuses.append(answer.status)
         now = anyio.current_time()
         lifetime = answer.headers.get('signed', '').partition('.')[0]
-        one = self.watched.get(lifetime)
+        one = self.observed.get(lifetime)
         if one is None:
             return
         if 'takes-a-second' in answer.headers:
-            one.limits_passed_on.setdefault(entry, now)
+            one.limits_relayed_at.setdefault(entry, now)
         if 'leaves' in answer.headers:
-            one.leaving_passed_on.setdefault(entry, now)
+            one.leaving_relayed_at.setdefault(entry, now)
 
-    async def disturb(self, until):
+    async def inject_events(self, until):
         """Let something happen again and again."""
-        leaver = self.luck.choice(list(self.watched.values()))
+        leaving = self.rng.choice(list(self.observed.values()))
         events = [
-            partial(self._leave, leaver),
+            partial(self._leave, leaving),
             self._end_home,
             self._add_entry,
         ]
-        self.luck.shuffle(events)
+        self.rng.shuffle(events)
         while not is_over(until):
-            await anyio.sleep(self.luck.uniform(0.2, 1.2))
-            if events and self.luck.random() < 0.3:
+            await anyio.sleep(self.rng.uniform(0.2, 1.2))
+            if events and self.rng.random() < 0.3:
                 await events.pop()()
-            one = self.luck.choice(list(self.watched.values()))
-            one.name(self.luck.choice((None, *RATES, *RATES)))
+            one = self.rng.choice(list(self.observed.values()))
+            one.state_limit(self.rng.choice((None, *RATES, *RATES)))
 
     async def _leave(self, one):
         one.upstream.says['leaves'] = '1'
 
     async def _end_home(self):
         self.gateways.pop(0)
-        self.life.cancel()
+        self.home_scope.cancel()
 
     async def _add_entry(self):
         self.gateways.append(await self.world.add_gateway())
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_no_course_passes_what_upstreams_say(seed):
+def test_no_scenario_exceeds_what_upstreams_state(seed):
     @in_world
     async def play(world):
-        course = Course(world, Random(seed))
-        await course.start()
-        until = anyio.current_time() + SECONDS
+        scenario = Scenario(world, Random(seed))
+        await scenario.start()
+        until = anyio.current_time() + DURATION_SECONDS
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(course.call_often, until)
-            tasks.start_soon(course.disturb, until)
-        for one in course.watched.values():
+            tasks.start_soon(scenario.call_often, until)
+            tasks.start_soon(scenario.inject_events, until)
+        for one in scenario.observed.values():
             ends = [arrival.at for arrival in one.arrivals]
-            assert not any(map(one.passes_limit, ends))
-            assert not one.late()
-        assert set(course.statuses) <= {200, 503}
+            assert not any(map(one.exceeds_limit, ends))
+            assert not one.late_arrivals()
+        assert set(scenario.statuses) <= {200, 503}
 
     play()
