--- a/packages/spanfall-node/src/spanfall_node/gateway/callers/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Serve the connections of callers."""
+"""Accept callers' connections and serve their requests."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/callers/callers.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/callers/callers.py
@@ -1,4 +1,4 @@
-"""Listen for callers and take each request through the gateway."""
+"""Serve callers' connections and pass each request through the gateway."""
 
 import logging
 
@@ -24,15 +24,16 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds after the signal to stop in which new requests are still served:
-#: until the balancer has noticed and its connections have gone elsewhere.
+#: Seconds after the stop signal during which new requests are still served.
+#: By then the load balancer has noticed and moved its connections elsewhere.
 DRAIN_GRACE_SECONDS = 3.0
-#: Longest time that a request waits for the first configuration, or for
-#: units that the home has left: most of a report's period, and under half of
-#: any target. A refused request comes back later than that, or never.
+#: Maximum seconds that a request waits for the first configuration or for
+#: units from the home. This is most of a report period and under half of any
+#: latency target; a refused request is retried later than that, or never.
 MAX_ADMISSION_WAIT_SECONDS = 0.12
+#: Seconds between two attempts to admit a waiting request.
 ADMISSION_POLL_SECONDS = 0.02
-#: Seconds after which a caller refused by a stopping node may come back.
+#: Retry-After seconds for callers that a draining node refuses.
 DRAINING_RETRY_SECONDS = 0.05
 
 _BAD_REQUESTS = {
@@ -42,7 +43,7 @@
 
 
 class Callers:
-    """Serve the connections of callers."""
+    """Serve callers' connections and track which of them are idle."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         access: UpstreamAccess,
         units: UnitClient,
     ) -> None:
-        """Use the tables of the node, its ways to upstreams and to units."""
+        """Use the node's state, upstream access and unit client."""
         self._state = state
         self._access = access
         self._units = units
@@ -58,7 +59,7 @@
         self._idle: set[int] = set()
 
     async def serve_connection(self, stream: SocketStream) -> None:
-        """Serve one connection until either side closes it."""
+        """Serve the requests of one connection until either side closes it."""
         caller = CallerConnection(stream, self._state.limits)
         self._connections[id(caller)] = caller
         try:
@@ -66,7 +67,9 @@
         except CallerGoneError:
             caller.gone = True
         except Exception:
-            logger.exception('A connection failed; report the traceback')
+            logger.exception(
+                'Unexpected error on a caller connection; closing the connection'
+            )
             caller.gone = True
         finally:
             self._connections.pop(id(caller), None)
@@ -74,7 +77,7 @@
                 await self._close(caller)
 
     async def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections that have no request in progress."""
         for key in list(self._idle):
             caller = self._connections.get(key)
             if caller is not None:
@@ -147,10 +150,10 @@
         body: bytes,
         began_at: float,
     ) -> AdmittedRequest:
-        """Admit a request, or wait a moment for what is about to come.
+        """Admit a request, waiting a bounded time if the refusal is transient.
 
         Raises:
-            RefusedError: the request is not served; nothing was sent.
+            RefusedError: the request is refused; it was sent to no upstream.
         """
         state = self._state
         while True:
@@ -165,7 +168,7 @@
                 await anyio.sleep(ADMISSION_POLL_SECONDS)
 
     async def _obtain_missing(self, refusal: RefusedError) -> bool:
-        """Get what a request lacks from the home; tell whether it came."""
+        """Obtain missing units from the home; return whether it lent them."""
         if not isinstance(refusal, UnitsMissingError):
             return False
         return await self._units.obtain(refusal.workspace, refusal.units)
@@ -175,7 +178,7 @@
         caller: CallerConnection,
         admitted: AdmittedRequest,
     ) -> None:
-        """Serve a request; stop as soon as the caller has left."""
+        """Serve a request and cancel it as soon as the caller disconnects."""
         refusals: list[RefusedError] = []
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(
--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Get what requests need of the limits of workspaces."""
+"""Obtain units of workspace limits for requests."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
@@ -1,8 +1,8 @@
-"""Ask the home for the units that a request lacks at this entry.
+"""Request units from the home when this entry holds too few for a request.
 
-An entry holds a small part of each limit, and most of what is left lies in
-the pool of the home: a request larger than what is held here is served from
-there, so that no entry has to spend what it does not hold.
+An entry holds a small share of each limit, and most unspent units are in the
+home's pool. A request larger than the local share borrows from that pool, so
+that no entry has to spend units that it does not hold.
 """
 
 from dataclasses import dataclass, field
@@ -11,11 +11,11 @@
 from spanfall_node.gateway.links.questions import Questions, Send
 from spanfall_node.gateway.tables.state import GatewayState
 
-#: Seconds for the home's answer: half of what a request waits at most to be
-#: admitted, and several ways between regions.
+#: Timeout for the home's answer in seconds: half of the maximum admission wait
+#: of a request, and several network delays between regions.
 UNITS_TIMEOUT_SECONDS = 0.06
 
-#: Outcomes of a question, as counted.
+#: Outcomes of a unit request, used as metric labels.
 LENT = 'lent'
 NONE_LEFT = 'none-left'
 UNANSWERED = 'unanswered'
@@ -23,24 +23,25 @@
 
 @dataclass(slots=True)
 class UnitClient:
-    """Ask over the link that the entry holds to the home."""
+    """Request units over the entry's link to the home."""
 
     state: GatewayState
     _questions: Questions[float] = field(default_factory=Questions)
 
     def connect(self, send: Send) -> None:
-        """Ask over this link from now on."""
+        """Send requests over this link from now on."""
         self._questions.connect(send)
 
     def disconnect(self) -> None:
-        """Ask nobody until there is another link."""
+        """End pending requests and send none until another link connects."""
         self._questions.disconnect()
 
     def accept_answer(self, message: UnitsMessage) -> None:
-        """Take what the home gave.
+        """Record the units that the home lent.
 
-        It is counted as it arrives, in the order of the tables: the home
-        counts it as held from then on, whether a request still waits or not.
+        They are counted on arrival, in order with the home's tables, even if
+        no request waits any more: the home counts them as held by this entry
+        from then on.
         """
         state = self.state
         now = state.timers.now()
@@ -48,7 +49,7 @@
         self._questions.learn(message.number, message.units)
 
     async def obtain(self, workspace: str, units: float) -> bool:
-        """Ask for what a request lacks; tell whether the home gave it."""
+        """Request the units that are missing; return whether the home lent any."""
         state = self.state
         now = state.timers.now()
         limit = state.limits_at(now).get(workspace)
@@ -62,7 +63,7 @@
         return outcome == LENT
 
     async def _request_units(self, workspace: str, missing: float) -> str:
-        """Ask the home, which may be this node; return the outcome."""
+        """Request units from the home, which may be this node."""
         state = self.state
         if state.tenure is not None:
             now = state.timers.now()
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Read and admit what callers send; no upstream is known here."""
+"""Read and admit callers' requests, independently of any upstream."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
@@ -1,4 +1,4 @@
-"""Decide whether a request is served at all, before anything is sent."""
+"""Admit or refuse a request before it is sent to any upstream."""
 
 from dataclasses import dataclass
 
@@ -24,18 +24,18 @@
 )
 from spanfall_node.gateway.tables.state import GatewayState
 
-#: Seconds after which a caller may ask a node that has no configuration.
+#: Retry-After seconds while a node has no configuration, or only a stale one.
 NOT_READY_RETRY_SECONDS = 0.5
-#: Longest time that a caller over its quota is told to wait.
+#: Bounds of the Retry-After seconds for a caller that exceeds its quota.
 MAX_QUOTA_RETRY_SECONDS = 5.0
 MIN_QUOTA_RETRY_SECONDS = 0.1
-#: Digits of a header number that are read; more is not a time or a count.
+#: Maximum digits of a number in a header; a longer one is no time or count.
 MAX_NUMBER_DIGITS = 12
 
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """Hold an admitted request."""
+    """Hold an admitted request and what admission determined for it."""
 
     req: CallerRequest
     body: bytes
@@ -46,12 +46,12 @@
     workspace: ServedWorkspace | None
     parts: tuple[PromptPart, ...]
     prompt_tokens: int
-    #: Units taken from the workspace's quota.
+    #: Units spent from the workspace's quota.
     units: float
     began_at: float
-    #: Steady time by which the caller has its last byte.
+    #: Monotonic time by which the response must be complete.
     deadline: float
-    #: Whether the run was counted for the usage report.
+    #: Whether the request was counted for the usage report.
     counted: bool = False
 
 
@@ -61,10 +61,10 @@
     body: bytes,
     began_at: float,
 ) -> AdmittedRequest:
-    """Find the route and the workspace of a request and take its quota.
+    """Find a request's route and workspace, and spend units of its quota.
 
     Raises:
-        RefusedError: the request is not served; nothing was sent.
+        RefusedError: the request is refused; it was sent to no upstream.
     """
     configuration = state.configuration
     if configuration is None:
@@ -104,7 +104,7 @@
 
 
 def token_counts(req: CallerRequest, names: HeaderNames) -> tuple[int, int]:
-    """Return the prompt's tokens and the most output tokens of a request."""
+    """Return a request's prompt tokens and maximum output tokens."""
     numbers = [
         int(text)
         for text in req.header(names.token_counts).split(',')
@@ -119,7 +119,7 @@
     req: CallerRequest,
     names: HeaderNames,
 ) -> tuple[PromptPart, ...]:
-    """Return the parts of a request's prompt, in order."""
+    """Return the parts of a request's prompt, in prompt order."""
     entries = req.header(names.prompt_parts).split(',')
     pairs = (entry.strip().partition(':') for entry in entries)
     return tuple(
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/caller_connection.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/caller_connection.py
@@ -1,7 +1,7 @@
-"""Speak HTTP with one caller over one connection.
+"""Serve HTTP/1.1 on one caller's connection.
 
-The connection tells a caller that left from one that is silent, keeps what
-the caller sends ahead, and ends an answer visibly short where it is.
+The connection distinguishes a caller that disconnected from one that is idle,
+buffers pipelined bytes, and ends an incomplete response visibly truncated.
 """
 
 from dataclasses import dataclass, field
@@ -16,12 +16,12 @@
 from spanfall_node.gateway.net.ports import Headers
 from spanfall_node.gateway.net.sockets import READ_BYTES, SOCKET_ERRORS
 
-#: Bytes that a caller may send ahead of the answer to its last request.
+#: Maximum bytes that a caller may pipeline before the response is complete.
 MAX_PIPELINED_BYTES = 65536
-#: Seconds that a closed connection waits for the caller to close too, so
-#: that the last answer is not lost to a reset.
+#: Seconds that a lingering close waits for the caller to close its side, so
+#: that a reset does not discard the last response.
 LINGER_SECONDS = 1.0
-#: Most bytes of a body that was refused are read and dropped.
+#: Maximum bytes of a refused body that are read and discarded.
 MAX_DISCARDED_BYTES = 8_388_608
 
 
@@ -34,13 +34,13 @@
     headers: Headers
 
     def header(self, name: bytes) -> str:
-        """Return the first value of a header in lower case, or nothing."""
+        """Return the first value of a header given in lower case, or ''."""
         found = (text for key, text in self.headers if key == name)
         return next(found, b'').decode('latin-1')
 
     @property
     def host(self) -> str:
-        """Return the host without its port."""
+        """Return the host in lower case, without its port."""
         return self.header(b'host').partition(':')[0].lower()
 
     @property
@@ -52,22 +52,24 @@
 
 @dataclass(slots=True)
 class CallerConnection:
-    """Hold the state of one caller's connection."""
+    """Hold the protocol state of one caller's connection."""
 
     stream: ByteStream
     limits: CallerLimits
     protocol: h11.Connection = field(init=False)
-    #: Whether the answer under way tells the caller to close.
+    #: Whether the connection closes after the current response.
     closing: bool = False
+    #: Whether the caller disconnected, or the connection has to be aborted.
     gone: bool = False
+    #: Bytes that the caller pipelined during the current request.
     _pipelined_bytes: int = 0
 
     def __post_init__(self) -> None:
-        """Start the protocol with the limit of a request's head."""
+        """Start the protocol with the configured header size limit."""
         self.protocol = h11.Connection(h11.SERVER, self.limits.header_bytes)
 
     async def read_request(self) -> CallerRequest | None:
-        """Return the next request's head, or None when the caller left.
+        """Return the next request's head, or None if the caller disconnected.
 
         Raises:
             BadRequestError: the head is malformed, too large or too slow.
@@ -79,14 +81,14 @@
             if isinstance(event, h11.Request):
                 return self._checked_head(event)
             return None
-        raise BadRequestError(408, 'the head did not come in time')
+        raise BadRequestError(408, 'request head timed out')
 
     async def read_body(self) -> bytes:
         """Return the whole body of the request.
 
         Raises:
             BadRequestError: the body is malformed, too large or too slow.
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         parts: list[bytes] = []
         size = 0
@@ -100,10 +102,12 @@
             size += len(event.data)
             if size > self.limits.body_bytes:
                 self.closing = True
-                raise BadRequestError(413, 'the body is too large')
+                raise BadRequestError(
+                    413, 'request body exceeds the size limit'
+                )
 
     async def wait_for_disconnect(self) -> None:
-        """Return when the caller leaves; keep what it sends ahead."""
+        """Return when the caller disconnects; buffer what it pipelines."""
         while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 received = await self.stream.receive(READ_BYTES)
@@ -115,10 +119,10 @@
         await anyio.sleep_forever()
 
     async def send_head(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer.
+        """Send the head of a response.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         if self.closing:
             headers = [*headers, (b'connection', b'close')]
@@ -126,18 +130,18 @@
         await self._write(self.protocol.send(response))
 
     async def send_part(self, part: bytes) -> None:
-        """Send a part of the body.
+        """Send a part of the response body.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         await self._write(self.protocol.send(h11.Data(data=part)))
 
     async def send_end(self) -> None:
-        """End the answer properly.
+        """Mark the response as complete.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         await self._write(self.protocol.send(h11.EndOfMessage()))
 
@@ -147,10 +151,10 @@
         headers: Headers,
         body: bytes,
     ) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         if self.closing:
             headers = [*headers, (b'connection', b'close')]
@@ -162,7 +166,7 @@
         await self._write(b''.join(pieces))
 
     def start_next(self) -> bool:
-        """Get ready for the next request; False when there can be none."""
+        """Prepare for the next request; return False if the connection ends."""
         if self.closing or self.gone:
             return False
         if self.protocol.our_state is not h11.DONE:
@@ -174,7 +178,7 @@
         return True
 
     async def close_gracefully(self) -> None:
-        """Close so that what was sent arrives."""
+        """Close with a lingering close, so that the last response arrives."""
         with anyio.move_on_after(LINGER_SECONDS, shield=True):
             try:
                 await self._linger()
@@ -183,7 +187,7 @@
         await self.abort()
 
     async def abort(self) -> None:
-        """Close at once, so that an unfinished answer looks unfinished."""
+        """Close at once, so that the caller detects an incomplete response."""
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self.stream)
 
@@ -227,7 +231,7 @@
                 raise CallerGoneError
             return event
         self.closing = True
-        raise BadRequestError(408, 'the body did not come in time')
+        raise BadRequestError(408, 'request body timed out')
 
     async def _receive(self) -> None:
         try:
@@ -242,7 +246,7 @@
         size = sum(len(name) + len(text) + 4 for name, text in headers)
         if size + len(event.target) > self.limits.header_bytes:
             self.closing = True
-            raise BadRequestError(431, 'the head is too large')
+            raise BadRequestError(431, 'request head exceeds the size limit')
         return CallerRequest(
             event.method.decode('ascii'),
             event.target.decode('ascii'),
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/refusals.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/refusals.py
@@ -1,4 +1,4 @@
-"""Answer callers whose request is not served."""
+"""Describe refused requests and build the responses to them."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -9,12 +9,12 @@
 
 from spanfall_node.gateway.net.ports import Headers
 
-#: Statuses that promise that the request has not run and never will.
+#: Statuses that guarantee that the request has not run and never will.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class RefusedError(Exception):
-    """Say that a request is not served, and when to come back."""
+    """Signal that a request is refused, and when to retry it."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
         is_transient: bool = False,
         detail: str = '',
     ) -> None:
-        """Hold the status, the reason and the seconds to wait.
+        """Hold the status, the reason and the seconds until a retry.
 
-        ``may_pass`` tells that what is missing may come in a moment, and
-        ``detail`` tells operators what decided it.
+        ``is_transient`` marks a refusal whose cause may end within moments.
+        ``detail`` states the cause for the log.
         """
         super().__init__(reason)
         self.status = status
@@ -39,14 +39,14 @@
 
 
 class EndsUpstreamsError(RefusedError):
-    """Say that upstreams ended each time that they ran this request.
+    """Signal that a request is quarantined: upstreams crashed running it.
 
-    It has run at those, so the answer neither promises that it has not nor
-    says when to come back.
+    The request has run there, so the response neither guarantees that it has
+    not run nor carries a Retry-After header.
     """
 
     def __init__(self, identity: RequestIdentity) -> None:
-        """Hold the name of the request for the log."""
+        """Hold the identity of the request for the log."""
         super().__init__(
             502,
             RefusalReason.ENDS_UPSTREAMS,
@@ -55,7 +55,7 @@
 
 
 class UnitsMissingError(RefusedError):
-    """Say that a request needs more units of a limit than are held here."""
+    """Signal that a request needs more units than this entry holds."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         is_transient: bool,
         detail: str,
     ) -> None:
-        """Hold the workspace and all units that the request needs."""
+        """Hold the workspace and the total units that the request needs."""
         super().__init__(
             429,
             RefusalReason.RATE_LIMITED,
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProblemDetails:
-    """Tell a caller why its request is not served (RFC 9457)."""
+    """Describe to a caller why its request is refused (RFC 9457)."""
 
     title: str
     status: int
@@ -88,7 +88,7 @@
 
 
 def refusal_body(refusal: RefusedError) -> bytes:
-    """Return the body of a refusal."""
+    """Return the problem document of a refusal."""
     title = HTTPStatus(refusal.status).phrase
     problem_details = ProblemDetails(
         title, refusal.status, refusal.reason.value
@@ -97,7 +97,7 @@
 
 
 def refusal_headers(refusal: RefusedError, size: int) -> Headers:
-    """Return the headers of a refusal with a body of that size."""
+    """Return the response headers of a refusal with a body of ``size`` bytes."""
     headers = [
         (b'content-type', b'application/problem+json'),
         (b'content-length', b'%d' % size),
--- a/tests/test_gateway_asked_backoff.py
+++ b/tests/test_gateway_asked_backoff.py
@@ -77,11 +77,11 @@
 
 
 @pytest.mark.parametrize('others', (0, 1))
-def test_entries_respect_a_backoff(other_upstreams):
+def test_entries_respect_a_backoff(others):
     @in_world
     async def play(world):
         busy = BusyUpstream(await world.add_upstream(whole()))
-        for _ in range(other_upstreams):
+        for _ in range(others):
             await world.add_upstream(whole())
         gateways = [await world.add_gateway() for _ in range(2)]
         busy.start_refusing()
