--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/__init__.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Choose an upstream, send a request there and relay the answer."""
+"""Choose an upstream, send it a request and relay the response."""
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/attempt.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""Hold the progress of one admitted request and answer its caller."""
+"""Track the progress of one admitted request and its response."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -20,12 +20,12 @@
 
 @dataclass(slots=True)
 class Answered:
-    """Say that the caller has its answer, whole or visibly cut."""
+    """Mark a send whose response has been relayed to the caller."""
 
 
 @dataclass(slots=True)
 class Failed:
-    """Say how a send ended, with the upstream's answer if it came whole."""
+    """Hold how a send failed, with the upstream's response if complete."""
 
     outcome: SendEnd
     reason: str
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True)
 class PartTimings:
-    """Measure the pauses between the parts of an answer, in seconds."""
+    """Measure the pauses between the parts of a response, in seconds."""
 
     first_at: float = 0
     last_at: float = 0
     longest_pause: float = 0
 
     def record(self, now: float) -> None:
-        """Note a part that goes out now."""
+        """Record a part that is sent now."""
         if not self.first_at:
             self.first_at = now
         if self.last_at:
@@ -52,17 +52,17 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """Hold the progress of one request."""
+    """Hold the progress of one request over all of its sends."""
 
     admitted: AdmittedRequest
     caller: CallerConnection
     sends: SendState = field(default_factory=SendState)
     tried: set[Lifetime] = field(default_factory=set)
     events: EventSplitter = field(default_factory=EventSplitter)
-    #: Whether the head of the answer has been sent to the caller.
+    #: Whether the head of the response has been sent to the caller.
     started: bool = False
     timings: PartTimings = field(default_factory=PartTimings)
-    #: Tells that the answer has begun, where the request is watched.
+    #: Called when the response starts, if the request is watched for crashes.
     on_response_start: Callable[[], Awaitable[None]] | None = None
 
 
@@ -72,7 +72,7 @@
     head: AnswerHead,
     body: bytes,
 ) -> None:
-    """Send the caller an upstream's answer that was read whole."""
+    """Send the caller a response that was read completely beforehand."""
     headers = response_headers(head, len(body), exchange.admitted.req.method)
     await exchange.caller.send_response(head.status, headers, body)
     record_response(state, exchange, head.status)
@@ -84,14 +84,14 @@
     lifetime: Lifetime,
     status: int,
 ) -> None:
-    """Log the end of a whole answer with what decided it."""
+    """Log a completed response with the figures behind its latency."""
     admitted = exchange.admitted
     now = state.timers.now()
     logger.info(
         'Request %s of %s: %s from %s, send %s, first part after %.3f s, '
-        'longest pause %.3f s, all %.3f s, '
-        '%s prompt tokens, %s running there, configuration %s, '
-        '%.0f units of %s, identity %s',
+        'longest pause %.3f s, total %.3f s, '
+        '%s prompt tokens, %s requests running there, configuration %s, '
+        '%.0f units of workspace %s, identity %s',
         admitted.attempt_id,
         admitted.route.name,
         status,
@@ -112,14 +112,14 @@
 def record_response(
     state: GatewayState, exchange: Exchange, status: int
 ) -> None:
-    """Count an answer that begins now."""
+    """Count a response that starts now and observe its latency."""
     state.counters.answers.labels(status).inc()
     waited = state.timers.now() - exchange.admitted.began_at
     state.counters.first_part.observe(waited)
 
 
 def count_run(state: GatewayState, admitted: AdmittedRequest) -> None:
-    """Count a run that began, once a request, for the usage report."""
+    """Count a request that has run, once, for the usage report."""
     if admitted.counted or admitted.workspace is None:
         return
     admitted.counted = True
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
@@ -1,4 +1,4 @@
-"""Choose an upstream for a request, now or after a wait that pays."""
+"""Choose an upstream for a request, now or after a bounded wait."""
 
 import anyio
 from spanfall_core.gateway.crashes.crashes import Standing
@@ -9,15 +9,16 @@
 from spanfall_node.gateway.upstreams.attempt import Exchange
 from spanfall_node.gateway.upstreams.grants import ChoiceOutcome, GrantClient
 
-#: Seconds that a suspect waits for its trial while another one is tried: as
-#: long as a trial whose upstream says nothing. Then it may come back.
+#: Seconds that a suspect request waits while the trial of another one runs: as
+#: long as a trial whose upstream sends nothing. Then the caller may retry.
 TRIAL_WAIT_SECONDS = 1.5
+#: Seconds between two attempts to begin the trial of a suspect request.
 TRIAL_POLL_SECONDS = 0.05
-#: Part of a route's target that a request waits for its turn at an upstream
-#: with a limit: a refusal later than that helps its caller no more.
+#: Fraction of a route's latency target that a request waits for a permit of a
+#: rate-limited upstream: a later refusal would no longer help the caller.
 PERMIT_WAIT_FRACTION = 0.25
-#: Seconds to a turn at the least: where many upstreams are limited one comes
-#: each moment, and each look for it is a question to the home.
+#: Minimum seconds of a wait for a permit. With many rate-limited upstreams a
+#: permit is due at almost any moment, and each attempt is a request to the home.
 MIN_PERMIT_WAIT_SECONDS = 0.02
 
 
@@ -28,9 +29,9 @@
 ) -> ChoiceOutcome:
     """Choose an upstream; wait where that serves the caller better.
 
-    A suspect waits a while for its trial, and a request that an upstream's own
-    limit or back-off keeps back waits where its turn comes within a part of its
-    target.
+    A suspect request waits for its trial. A request that only an upstream's
+    rate limit or back-off delays waits if that ends within a fraction of the
+    route's latency target.
     """
     admitted = exchange.admitted
     began_at = state.timers.now()
@@ -75,7 +76,7 @@
     routing_request: Ask,
     choice: ChoiceOutcome,
 ) -> ChoiceOutcome:
-    """Say when to come back where only a back-off keeps a request from serving."""
+    """Return when to retry if only back-offs prevent a choice."""
     if choice is not None and not isinstance(choice, ComeBack):
         return choice
     rows = state.directory.serving(service)
@@ -93,7 +94,7 @@
 def seconds_until_backoff_ends(
     state: GatewayState, service: str
 ) -> float | None:
-    """Return the seconds until the first back-off ends, if all are avoided."""
+    """Return the seconds to the first back-off's end, if all are in one."""
     now = state.timers.now()
     lifetimes = [row.lifetime for row in state.directory.serving(service)]
     if state.words.backoffs.active(now) >= set(lifetimes):
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -1,8 +1,9 @@
-"""Find out at an entry whether an upstream ended under a request.
+"""Detect at an entry whether an upstream crashed while running a request.
 
-A connection that breaks may have been reset or garbled by an upstream that
-lives. One whose process has ended refuses new connections, unless something
-else holds its port or its host went too: then the platform's list tells later.
+A broken connection may have been reset or garbled by an upstream that is still
+alive. An upstream whose process has ended refuses new connections, unless
+something else holds its port or its host is down too: then the platform's list
+of upstreams shows the crash later.
 """
 
 import math
@@ -26,25 +27,26 @@
 from spanfall_node.gateway.net.pool import ConnectionPool
 from spanfall_node.gateway.tables.state import GatewayState
 
-#: Seconds for the answer of a host that ended a connection a moment ago.
+#: Timeout in seconds of a probe connection to a host that was just reachable.
 PROBE_TIMEOUT_SECONDS = 0.1
-#: Seconds in which one that only holds the port closes what it took, and in
-#: which the other connections of a process that has ended are seen to end.
+#: Seconds within which a process that only holds the port closes an accepted
+#: connection, and within which the other connections of an ended process close.
 CLOSE_WAIT_SECONDS = 0.03
-#: Seconds without a word of an upstream after which a caller that leaves, or
-#: whose time is over, may have waited for one that has ended.
+#: Seconds without data from an upstream after which a caller that disconnects,
+#: or whose deadline passes, may have waited for a crashed upstream.
 MIN_SILENCE_SECONDS = 1.0
-#: Requests that may wait to be examined; more are not. A probe each second of
-#: each upstream is enough for all that wait there.
+#: Maximum unanswered requests queued for a probe; further ones are not probed.
 MAX_QUEUED_PROBES = 256
+#: Seconds for which the result of a probe stands for all queued requests of its
+#: upstream.
 PROBE_PERIOD = 1.0
-#: Seconds between two looks at the platform's list while there is a doubt.
+#: Seconds between two checks of the platform's list while a crash is suspected.
 SUSPICION_CHECK_PERIOD = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class UnansweredRequest:
-    """Hold a request that got no answer in its time."""
+    """Hold a request whose upstream did not respond in time."""
 
     identity: RequestIdentity
     upstream: ListedUpstream
@@ -52,25 +54,25 @@
 
 @dataclass(slots=True)
 class CrashDetector:
-    """Examine broken sends and tell the home of them."""
+    """Probe upstreams after failed sends and report crashes to the home."""
 
     state: GatewayState
     pool: ConnectionPool
     _send: Send | None = field(default=None)
-    #: What the last probe of an upstream showed, and when.
+    #: Time and result of the last probe of each upstream.
     _probe_results: dict[Lifetime, tuple[float, Sign]] = field(
         default_factory=dict
     )
-    #: Requests that wait to be examined, and the event that tells of one.
+    #: Requests whose upstream is to be probed, and the event set by a new one.
     _queue: deque[UnansweredRequest] = field(default_factory=deque)
     _queue_filled: anyio.Event = field(default_factory=anyio.Event)
 
     def connect(self, send: Send) -> None:
-        """Tell the home over this link from now on."""
+        """Report to the home over this link from now on."""
         self._send = send
 
     def disconnect(self) -> None:
-        """Keep what is found until there is another link."""
+        """Stop reporting until another link connects; keep recording locally."""
         self._send = None
 
     async def check_broken_send(
@@ -78,9 +80,9 @@
         identity: RequestIdentity,
         upstream: ListedUpstream,
     ) -> None:
-        """Note the end of an upstream under a request, if it has ended.
+        """Probe an upstream whose send broke, and record a crash if it ended.
 
-        The home knows it before it is asked for another upstream.
+        The home receives the report before a request for another upstream.
         """
         probe_result = await self._probe_after_break(upstream)
         if probe_result is Sign.LIVES:
@@ -94,7 +96,7 @@
         upstream: ListedUpstream,
         last_received_at: float,
     ) -> None:
-        """Have an upstream examined that a caller waited for in vain."""
+        """Queue a probe of an upstream that did not respond to a request."""
         if self.state.timers.now() - last_received_at < MIN_SILENCE_SECONDS:
             return
         if len(self._queue) >= MAX_QUEUED_PROBES:
@@ -104,7 +106,7 @@
         self._queue_filled.set()
 
     async def probe_unanswered(self) -> None:
-        """Examine upstreams that callers waited for, until cancelled."""
+        """Probe the upstreams of queued requests, until cancelled."""
         while True:
             await self._queue_filled.wait()
             while self._queue:
@@ -119,7 +121,7 @@
             self._queue_filled = anyio.Event()
 
     async def resolve_suspected_crashes(self) -> None:
-        """Learn which doubted upstreams have ended, until cancelled."""
+        """Check which suspected upstreams have ended, until cancelled."""
         state = self.state
         while True:
             await state.crashes.doubted.wait()
@@ -133,7 +135,7 @@
         identity: RequestIdentity,
         stage: RunStage,
     ) -> None:
-        """Tell the home how far a request has come that is watched."""
+        """Report to the home which stage a watched run has reached."""
         run = WatchedRun(identity, stage)
         self.state.crashes.note_run(run, self.state.timers.now())
         if self._send is not None:
@@ -145,7 +147,7 @@
         upstream: ListedUpstream,
         probe_result: Sign,
     ) -> None:
-        """Note what a sign tells, here and at the home."""
+        """Record what a probe showed, and report it to the home."""
         crashes = self.state.crashes
         now = self.state.timers.now()
         lifetime = upstream.lifetime
@@ -160,7 +162,7 @@
             await self._send(report)
 
     async def _probe_after_break(self, upstream: ListedUpstream) -> Sign:
-        """Return what an upstream shows just after a send to it broke."""
+        """Probe an upstream just after a send to it broke."""
         before = self.pool.open_connections(upstream.lifetime)
         probe_result = await _probe(upstream.address)
         if probe_result is not Sign.TAKES_CONNECTIONS:
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/event_parts.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/event_parts.py
@@ -1,14 +1,14 @@
-"""Split an event stream into whole events.
+"""Split an event stream into complete events.
 
-An event ends with an empty line. What follows the last whole event is kept
-back, since an upstream may stop in the middle of an event and another one
+An event ends with an empty line. Bytes after the last complete event are
+buffered: an upstream may stop in the middle of an event, and another upstream
 then sends that event again.
 """
 
 import re
 from dataclasses import dataclass
 
-#: Most bytes of one event.
+#: Maximum bytes of one event.
 MAX_EVENT_BYTES = 1_048_576
 
 _EVENT_END = re.compile(rb'\r?\n\r?\n')
@@ -16,22 +16,22 @@
 
 
 class EventTooLargeError(Exception):
-    """Say that an event grew larger than any that is relayed."""
+    """Signal that an event exceeds the size limit."""
 
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Hold the unfinished event of a stream and the last id seen."""
+    """Hold the incomplete event of a stream and the last event id."""
 
     partial_event: bytes = b''
     last_id: bytes = b''
     events: int = 0
 
     def feed(self, received: bytes) -> bytes:
-        """Return the whole events that are complete now.
+        """Add received bytes and return the events that are now complete.
 
         Raises:
-            EventTooLargeError: an event does not end.
+            EventTooLargeError: the incomplete event exceeds the size limit.
         """
         joined = self.partial_event + received
         end = 0
@@ -48,5 +48,5 @@
         return whole
 
     def discard_partial(self) -> None:
-        """Drop an unfinished event; another upstream sends it again."""
+        """Discard the incomplete event; another upstream sends it again."""
         self.partial_event = b''
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/forwarded.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/forwarded.py
@@ -1,10 +1,10 @@
-"""Build what goes to an upstream and what goes back to the caller."""
+"""Build the request for an upstream and the headers of its response."""
 
 from spanfall_node.gateway.net.client import AnswerHead
 from spanfall_node.gateway.net.ports import HeaderNames, Headers, HttpCall
 from spanfall_node.gateway.requests.admission import AdmittedRequest
 
-#: Headers that concern one connection only (RFC 9110, section 7.6.1).
+#: Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
@@ -20,9 +20,9 @@
         b'content-length',
     ),
 )
-#: Lowest rank that engines tell apart.
+#: Number of the lowest priority that engines distinguish.
 LOWEST_PRIORITY = 9
-#: Milliseconds less than what is left, for the way back.
+#: Milliseconds subtracted from the remaining time, for the response to return.
 RETURN_MARGIN_MS = 5
 
 
@@ -33,7 +33,7 @@
     last_event_id: bytes,
     seconds_left: float,
 ) -> HttpCall:
-    """Return the request as an upstream gets it, ``left`` seconds to run."""
+    """Return the request to an upstream, with ``seconds_left`` to run."""
     dropped = (
         HOP_BY_HOP_HEADERS | names.set_by_nodes | _connection_options(admitted)
     )
@@ -61,7 +61,7 @@
 
 
 def is_event_stream(head: AnswerHead) -> bool:
-    """Tell whether an answer is a series of events."""
+    """Tell whether a response is an event stream."""
     return head.header(b'content-type').startswith(b'text/event-stream')
 
 
@@ -70,10 +70,10 @@
     size: int | None,
     method: str,
 ) -> Headers:
-    """Return an upstream's headers for the caller.
+    """Return the headers of an upstream's response for the caller.
 
-    ``size`` is the length of a body that was read whole; a stream has none
-    and is sent in chunks.
+    ``size`` is the length of a buffered body; it is None for a stream, which
+    is sent in chunks.
     """
     headers = [
         (name, text)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -1,4 +1,4 @@
-"""Grant, as the home, the upstream of each request of the fleet."""
+"""Grant an upstream, as the home, to each request of the fleet."""
 
 from collections.abc import Sequence
 from collections.abc import Set as AbstractSet
@@ -14,15 +14,15 @@
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.tables.tenure import is_giver
 
-#: Seconds after which a caller is to come back whose request only upstreams
-#: with limits of their own could serve, while no home gives permits: most
-#: homes that end are followed by then.
+#: Retry-After seconds for a request that only rate-limited upstreams could
+#: serve while no home grants permits: by then most failed homes have a
+#: successor.
 NO_HOME_RETRY_SECONDS = 2.0
 
-#: Standings of requests for which the home grants nothing.
+#: Standings with which the home grants a request no upstream.
 UNGRANTED_STANDINGS = frozenset((Standing.HELD, Standing.QUARANTINED))
 
-#: Recent failures from which on an upstream is taken to fail.
+#: Recent failures from which on an upstream counts as failing.
 FAILING_THRESHOLD = 1.0
 
 
@@ -34,8 +34,8 @@
 ) -> GrantMessage:
     """Choose an upstream for an entry's request, as the home.
 
-    A request that ends upstreams, or may have ended as many, gets none, and one
-    that is suspect of it only where no other such request is tried.
+    A request that crashes upstreams, or may have crashed as many, gets none. A
+    suspect request gets one only while no other suspect is on trial.
     """
     now = state.timers.now()
     state.learn_own_load(now)
@@ -71,9 +71,10 @@
 
 
 def _withheld(state: GatewayState, now: float) -> AbstractSet[Lifetime]:
-    """Return the upstreams that get nothing now.
+    """Return the upstreams that get no requests now.
 
-    What a home gives that is perhaps not the only one could pass a limit.
+    A home that may not be the only one withholds all rate-limited upstreams:
+    permits from two homes could together exceed a limit.
     """
     if is_giver(state.tenure, now):
         return state.words.permits.withheld(now)
@@ -83,7 +84,7 @@
 def _seconds_to_permit(
     state: GatewayState, request: GrantRequest, now: float
 ) -> float:
-    """Return when an upstream has room that has none by its own limit."""
+    """Return the seconds to a permit of a rate-limited upstream, or 0."""
     has_candidate = has_limited_candidate(state, request.service, request.ask)
     if not has_candidate:
         return 0
@@ -94,7 +95,7 @@
 
 
 def has_limited_candidate(state: GatewayState, service: str, ask: Ask) -> bool:
-    """Tell whether room at an upstream with a limit would serve a request."""
+    """Tell whether a rate-limited upstream could serve a request."""
     limited = state.words.table.rates
     excluded = ask.tried | ask.avoided
     return bool(limited) and any(
@@ -109,10 +110,10 @@
     excluded: AbstractSet[Lifetime],
     now: float,
 ) -> Sequence[ListedUpstream]:
-    """Return the upstream whose end would cost least, if one is left.
+    """Return the upstream whose crash would cost least, if one is left.
 
-    Those that failed lately come last: few run there, and the request would
-    learn nothing there.
+    Those that failed recently come last: they run few requests, and a trial
+    there would show nothing about the request.
     """
     running = state.grant_book.running
 
@@ -156,6 +157,6 @@
         is_permit,
     )
     if entry != state.entry_key:
-        # The home's own counts include its own grants at once.
+        # The home's own counts include its own requests at once.
         state.grant_book.grant(entry, grant)
     return grant
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -1,8 +1,9 @@
-"""Choose the upstream of each request: ask the home, or decide alone.
+"""Choose each request's upstream: ask the home, or decide locally.
 
-The home knows what runs everywhere and which prompts were read where. An
-entry that has no home, or waits too long for one, decides from its own
-counts and the last table, so a silent home costs a bounded wait.
+The home has the counts of the whole fleet and knows which upstream has read
+which prompts. An entry that has no home, or gets no grant in time, decides
+from its own counts and the last table, so an unresponsive home costs only a
+bounded wait.
 """
 
 import logging
@@ -28,19 +29,19 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds that a request waits for the home's decision: some ways between
-#: data centres, and far less than any target.
+#: Seconds that a request waits for the home's grant: a few network delays
+#: between data centres, and far less than any latency target.
 GRANT_TIMEOUT_SECONDS = 0.03
-#: Seconds for which an entry decides alone after the home was too slow.
+#: Seconds for which an entry decides locally after a grant timed out.
 LOCAL_DECISION_SECONDS = 0.5
-#: Standings of requests that are not sent without the home's grant.
+#: Standings of requests that are sent only with the home's grant.
 GRANT_REQUIRED = frozenset(
     (Standing.SUSPECT, Standing.HELD, Standing.QUARANTINED),
 )
-#: What a choice leads to; None: no upstream serves.
+#: Result of a choice; None if no upstream can serve the request.
 ChoiceOutcome = Choice | ComeBack | Standing | None
 
-#: Outcomes of a choice, as counted.
+#: How a choice was made, used as metric labels.
 AS_HOME = 'as-home'
 GRANTED = 'granted'
 DECIDED_LOCALLY = 'alone'
@@ -48,26 +49,26 @@
 
 @dataclass(slots=True)
 class GrantClient:
-    """Ask the home over the link that the entry holds to it."""
+    """Choose upstreams with the home's grants or, without a home, locally."""
 
     state: GatewayState
     _questions: Questions[GrantMessage] = field(default_factory=Questions)
     _local_until: float = 0
 
     def connect(self, send: Send) -> None:
-        """Ask over this link from now on."""
+        """Request grants over this link from now on."""
         self._questions.connect(send)
 
     def disconnect(self) -> None:
-        """Decide alone until there is another link."""
+        """Decide locally until another link connects."""
         self._questions.disconnect()
 
     def accept_answer(self, answer: GrantMessage) -> None:
-        """Take the home's answer; one that comes too late is not used."""
+        """Resolve a pending request; a late answer is ignored."""
         self._questions.learn(answer.number, answer)
 
     def load(self) -> EntryLoad:
-        """Return what runs here and up to which grant that is known."""
+        """Return the local load and the last grant number that it includes."""
         return self.state.own_load(self._questions.settled)
 
     async def choose(
@@ -75,10 +76,10 @@
         service: str,
         ask: Ask,
     ) -> ChoiceOutcome:
-        """Return the upstream for a request, if any serves.
+        """Return the upstream for a request, if any can serve it.
 
-        Return its standing where it may not be sent, or not now. The caller
-        counts the request at once, before it waits for anything.
+        Return the request's standing if it may not be sent, or not now. The
+        calling code has to count the request as running before it next waits.
         """
         state = self.state
         state.prompts.learn(ask, state.timers.now())
@@ -116,7 +117,7 @@
         if not question.is_answered:
             self._local_until = state.timers.now() + LOCAL_DECISION_SECONDS
             logger.info(
-                'The home granted nothing within %s s; deciding alone',
+                'Home sent no grant within %s s; choosing upstreams locally',
                 GRANT_TIMEOUT_SECONDS,
             )
         if question.answer is None:
@@ -124,7 +125,7 @@
         return self._accept_grant(question.answer)
 
     def _accept_grant(self, answer: GrantMessage) -> ChoiceOutcome:
-        """Return the granted choice unless this node knows better."""
+        """Return the granted choice unless newer local state rules it out."""
         grant = answer.grant
         if grant is None:
             if answer.standing in GRANT_REQUIRED:
@@ -136,7 +137,7 @@
         words = self.state.words
         is_limited = grant.lifetime in words.table.rates
         if is_limited and not grant.is_permit:
-            # The home had not heard yet of the limit.
+            # The home had not yet received the upstream's rate limit.
             return None
         if grant.lifetime in words.backoffs.active(self.state.timers.now()):
             return None
@@ -148,10 +149,10 @@
         service: str,
         ask: Ask,
     ) -> ChoiceOutcome:
-        """Choose from what is known here.
+        """Choose an upstream from local state.
 
-        Only the home tries suspects, and gives permits for upstreams that
-        name a limit.
+        Only the home puts suspect requests on trial and grants permits for
+        rate-limited upstreams.
         """
         state = self.state
         now = state.timers.now()
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -1,4 +1,4 @@
-"""Take what an upstream says of itself in any answer, however that ends."""
+"""Record an upstream's statements about itself from any response head."""
 
 import logging
 
@@ -10,8 +10,8 @@
 
 logger = logging.getLogger(__name__)
 
-#: The status with which another lifetime answers at the address: what it says
-#: of itself is not said of the one that was asked.
+#: Status with which another lifetime responds at the address; its statements do
+#: not apply to the lifetime that the request was sent to.
 OTHER_LIFETIME_STATUS = 421
 
 
@@ -21,9 +21,10 @@
     head: AnswerHead,
     sent_at: float,
 ) -> None:
-    """Take what the head of an answer says; log and count what is new.
+    """Record the statement in a response head; log and count changes.
 
-    ``sent_at`` is when the request was sent over that connection.
+    The statement counts however the response ends. ``sent_at`` is when the
+    request was sent over that connection.
     """
     if head.status == OTHER_LIFETIME_STATUS:
         return
@@ -43,7 +44,7 @@
         state.counters.statements.labels(one.value).inc()
     if changes:
         logger.info(
-            'Upstream %s says: %s; %s requests a second, back-off %s s',
+            'Upstream %s stated: %s; limit %s requests/s, back-off %s s',
             lifetime,
             ', '.join(changes),
             statement.rate,
@@ -52,6 +53,6 @@
 
 
 def merge_statements(state: GatewayState, words: Words) -> None:
-    """Take what another node knows of upstreams."""
+    """Merge the upstream statements that another node has recorded."""
     changes = state.words.learn(words, state.timers.now())
     state.directory.note_words(changes)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -1,7 +1,7 @@
-"""Send an admitted request to upstreams and relay the answer.
+"""Send an admitted request to upstreams and relay the response.
 
-One entry owns an attempt from its first byte to its last, so what was sent
-where is certain, and at most once needs no record elsewhere.
+One entry owns an attempt from its first byte to its last. It knows for certain
+what was sent where, so at-most-once delivery needs no record elsewhere.
 """
 
 import logging
@@ -46,20 +46,20 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds after which a caller may ask again where nothing ran.
+#: Retry-After seconds where the request has not run.
 NOT_RUN_RETRY_SECONDS = 0.2
-#: Seconds kept for the answer at the end of a request's time.
+#: Seconds before the deadline that are reserved for sending the response.
 RESPONSE_MARGIN_SECONDS = 0.02
-#: Seconds after which a suspect that waited for its trial may come back.
+#: Retry-After seconds for a suspect request that waited for its trial.
 TRIAL_RETRY_SECONDS = 0.5
-#: Seconds after which one that is held may come back: until then the platform's
-#: list can hardly tell whether its upstreams have ended.
+#: Retry-After seconds for a held request: before that, the platform's list can
+#: hardly show whether its upstreams have ended.
 HELD_RETRY_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAccess:
-    """Hold what leads from this node to the upstreams."""
+    """Hold what this node needs to reach upstreams."""
 
     pool: ConnectionPool
     grants: GrantClient
@@ -72,11 +72,12 @@
     admitted: AdmittedRequest,
     caller: CallerConnection,
 ) -> None:
-    """Serve one admitted request until its answer ends.
+    """Serve one admitted request until its response ends.
 
     Raises:
-        RefusedError: nothing has run, or nobody knows; nothing was relayed.
-        CallerGoneError: the caller left.
+        RefusedError: the request has not run, or its outcome is unknown;
+            nothing was relayed.
+        CallerGoneError: the caller disconnected.
     """
     exchange = Exchange(admitted, caller)
     seconds_left = (
@@ -140,7 +141,7 @@
     exchange: Exchange,
     standing: Standing,
 ) -> None:
-    """Answer a request that may not be sent, or not now."""
+    """End a request that may not be sent, or not now."""
     if exchange.sends.may_have_run:
         count_run(state, exchange.admitted)
     if exchange.started:
@@ -162,7 +163,7 @@
     exchange: Exchange,
     choice: Choice,
 ) -> Answered | Failed:
-    """Send a request; find out whether its upstream ended under it."""
+    """Send a request; check for a crash if the connection breaks."""
     identity = exchange.admitted.identity
     standing = state.crashes.standing(identity, state.timers.now())
     is_watched = choice.is_watched or standing is not Standing.FREE
@@ -187,7 +188,7 @@
     exchange: Exchange,
     choice: Choice,
 ) -> Answered | Failed:
-    """Send a request; note its upstream if the caller's time is over first."""
+    """Send a request; queue a probe of its upstream if it is cancelled."""
     send_result: Answered | Failed | None = None
     began_at = state.timers.now()
     try:
@@ -227,7 +228,7 @@
     choice: Choice,
     failed: Failed,
 ) -> bool:
-    """Note a failed send; tell whether the request is sent again."""
+    """Record a failed send; return whether to send the request again."""
     admitted = exchange.admitted
     exchange.tried.add(choice.upstream.lifetime)
     step = next_step(
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/sending.py
@@ -1,4 +1,4 @@
-"""Send a request to one upstream and relay what it answers."""
+"""Send a request to one upstream and relay its response."""
 
 import logging
 from dataclasses import dataclass
@@ -39,12 +39,12 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds for a new connection to an upstream.
+#: Timeout in seconds of a new connection to an upstream.
 CONNECT_TIMEOUT_SECONDS = 0.4
-#: Largest answer that is read whole before it is relayed.
+#: Maximum bytes of a response that is buffered before it is relayed.
 MAX_BUFFERED_BYTES = 8_388_608
-#: Weights of failures: a server that refuses is less suspect than one that
-#: fails, one that cannot be reached more.
+#: Weights of failures, relative to 1 for a failed request: a refusal weighs
+#: less, an unreachable upstream more.
 REFUSED_WEIGHT = 0.3
 UNREACHABLE_WEIGHT = 3.0
 
@@ -55,7 +55,7 @@
     exchange: Exchange,
     choice: Choice,
 ) -> Answered | Failed:
-    """Send a request to one upstream and relay what it answers."""
+    """Send a request to the chosen upstream and relay its response."""
     upstream = choice.upstream
     state.loads.begin(upstream.lifetime, choice.prefill)
     state.note_load()
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class PendingPrefill:
-    """Hold the prompt tokens that an upstream has still to read for us."""
+    """Hold the prompt tokens that the upstream has yet to prefill."""
 
     state: GatewayState
     choice: Choice
@@ -85,7 +85,7 @@
     sent_at: float
 
     def first_token(self) -> None:
-        """Learn from the first token how fast the upstream reads."""
+        """Measure the upstream's prefill speed at the first token."""
         if self.tokens and not self.choice.ahead:
             self.state.note_first_token(
                 self.choice.upstream.service,
@@ -95,7 +95,7 @@
         self.done()
 
     def done(self) -> None:
-        """Count the prompt as read, once."""
+        """Count the prompt as prefilled, once."""
         lifetime = self.choice.upstream.lifetime
         self.state.loads.first_token(lifetime, self.tokens)
         self.state.note_load()
@@ -141,9 +141,9 @@
 
 
 def _record_refusal(state: GatewayState, choice: Choice) -> None:
-    """Count a refusal, unless its upstream asked for a back-off with it.
+    """Count a refusal as a failure, unless it came with a back-off.
 
-    A back-off says all: after it the upstream is served as before.
+    A back-off is no failure: after it the upstream gets requests as before.
     """
     avoided = state.words.backoffs.active(state.timers.now())
     if choice.upstream.lifetime not in avoided:
@@ -171,7 +171,7 @@
     sent_at = state.timers.now()
 
     def is_for_request(head: AnswerHead) -> bool:
-        # One that is dropped was given by the same upstream.
+        # A response to another request still comes from this upstream.
         record_statement(state, lifetime, head, sent_at)
         answered = head.header(names.attempt_id)
         if answered:
@@ -201,7 +201,7 @@
     head: AnswerHead,
     body: bytes,
 ) -> Failed | None:
-    """Return how a whole answer failed, or None if it is relayed."""
+    """Return how a complete response failed, or None if it is relayed."""
     names = state.platform.names
     if head.status == OTHER_LIFETIME_STATUS:
         state.directory.end(choice.upstream.lifetime)
