--- a/tests/arrivals.py
+++ b/tests/arrivals.py
@@ -1,6 +1,6 @@
-"""Note what reaches an upstream, and from which entry.
+"""Record which requests reach an upstream, and from which entry.
 
-Callers name the entry that they ask in the attempt: ``entry/number``.
+Test callers put the entry's name into the attempt id: ``entry/number``.
 """
 
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """State when a request reached the upstream, and from which entry."""
+    """Hold when a request reached an upstream, and from which entry."""
 
     at: float
     entry: str
 
 
 def record_arrivals(upstream):
-    """Note each request that reaches an upstream from now on."""
+    """Record each request that reaches an upstream from now on."""
     arrivals = []
     answer = upstream.behaviour
 
@@ -31,7 +31,7 @@
 
 
 def arrived_after(arrivals, informed_at, seconds):
-    """Return what came from an entry later than so long after it was told."""
+    """Return arrivals more than ``seconds`` after their entry was informed."""
     never = float('inf')
     return [
         one
--- a/tests/test_gateway_admission.py
+++ b/tests/test_gateway_admission.py
@@ -1,4 +1,4 @@
-"""Wait a moment for what is about to come, before a request is refused."""
+"""Requests wait a bounded time for a transient refusal to end."""
 
 from itertools import repeat
 from types import SimpleNamespace
@@ -14,14 +14,14 @@
 from support import run_async
 
 WORK = object()
-#: What a look at the clock adds, as if the wait had taken it.
+#: Seconds by which each reading of the fake clock advances it.
 CLOCK_STEP = 0.03
 
 
 def admit_after_refusals(monkeypatch, refusals, *, is_transient):
-    """Refuse a request so many times, then admit it.
+    """Refuse a request a number of times, then admit it.
 
-    Return what came of it and how often it was tried.
+    Return the outcome and the number of attempts.
     """
     times = iter(range(1000))
     transient_flags = list(repeat(is_transient, refusals))
@@ -55,10 +55,10 @@
 
 @pytest.mark.parametrize('refusals', [0, 1, 3])
 def test_requests_wait_for_a_starting_node(monkeypatch, refusals):
-    """Callers come back in the moment in which a node listens again.
+    """Requests that arrive as a node starts to listen are not refused.
 
-    The first read of the configuration takes 20 ms, the home's first table
-    another 100 ms; a refused caller comes back later than any target.
+    The first read of the configuration takes 20 ms and the home's first table
+    another 100 ms. A refused caller retries later than any latency target.
     """
     outcome = admit_after_refusals(monkeypatch, refusals, is_transient=True)
     assert outcome == (WORK, refusals + 1)
--- a/tests/test_gateway_asked_backoff.py
+++ b/tests/test_gateway_asked_backoff.py
@@ -1,12 +1,9 @@
-"""Let an upstream turn requests away and ask its sender for a back-off.
-
-Seen: nothing yet; the pages name the bound with this matter: at most two
-requests from an entry between half a second after such an answer and the end
-of the time that it names.
-How: an upstream in need answers 503 with a time to come back.
-Cause: the time was read from no answer; a refusal counted as a third of a
-failure, so the upstream got less for some seconds, and for no fixed time.
-Proof: this test, with one upstream and with two.
+"""Entries respect the back-off that an upstream requests with a refusal.
+
+An overloaded upstream answers 503 with a back-off time. From half a second
+after such an answer to the end of that time, an entry may send it at most two
+requests. Guards against ignoring the back-off: a refusal then counts only as a
+third of a failure, so the upstream gets fewer requests for no fixed time.
 """
 
 from itertools import count
@@ -19,7 +16,7 @@
 from test_gateway_home import two_gateways
 
 BACKOFF_SECONDS = 2.0
-#: From when on the back-off binds, and the requests that may come in it.
+#: Seconds after which a back-off binds, and the requests allowed during it.
 BINDS_AFTER = 0.5
 MAX_REQUESTS = 2
 PAUSE = 0.05
@@ -28,7 +25,7 @@
 
 
 class BusyUpstream:
-    """Hold what one upstream sees, and the entries that it turned away."""
+    """Record what one upstream receives, and which entries it refused."""
 
     def __init__(self, upstream):
         self.upstream = upstream
@@ -46,12 +43,12 @@
         return await self.respond(one, seen, stream)
 
     def start_refusing(self):
-        """Turn away from now on and ask for a back-off."""
+        """Refuse requests from now on and ask for a back-off."""
         self.respond = refused()
         self.upstream.says = BACKOFF_HEADERS
 
     def count_in_backoff(self, entry):
-        """Return how many requests of an entry came in its back-off."""
+        """Return how many requests an entry sent during its back-off."""
         backoff_sent_at = self.backoff_sent_at[entry]
         binds = backoff_sent_at + BINDS_AFTER
         ends = backoff_sent_at + BACKOFF_SECONDS
@@ -61,7 +58,7 @@
 
 
 async def call(state, seconds):
-    """Send requests to an entry for some seconds; return the answers."""
+    """Send requests to an entry for some seconds; return the responses."""
     until = anyio.current_time() + seconds
     answers = []
     while anyio.current_time() < until:
@@ -95,7 +92,7 @@
 
 @in_world
 async def test_refusals_state_the_remaining_backoff(world):
-    """At once, with that time; then it is served as before."""
+    """Refusals are immediate; after the back-off, requests are served."""
     busy = BusyUpstream(await world.add_upstream(whole()))
     state = await world.add_gateway()
     busy.start_refusing()
@@ -115,7 +112,7 @@
 
 @in_world
 async def test_a_backoff_applies_to_one_entry(world):
-    """The home that grants for another entry has no back-off itself."""
+    """A home that grants for an entry in back-off is not in back-off itself."""
     busy = BusyUpstream(await world.add_upstream(whole()))
     home, other = await two_gateways(world)
     busy.start_refusing()
@@ -141,7 +138,7 @@
 
 
 def test_the_home_receives_the_latest_backoffs():
-    """A grant for one of the others is not used, as the entry knows it."""
+    """The entry ignores grants for the others, as it knows their back-offs."""
     backoffs = Backoffs()
     for number in range(2 * MOST_NAMED):
         backoffs.note(f'u-{number}', 9, 0)
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -1,4 +1,4 @@
-"""Keys of workspaces are checked, and what they use is reported."""
+"""Workspace keys are checked, and their usage is reported."""
 
 from gateway_world import ask, in_world
 from spanfall_standins.gateway.dialect import (
@@ -10,7 +10,7 @@
 
 @in_world
 async def test_keys_are_refused_while_the_store_is_unreachable(world):
-    """A revoked key must not work longer than the bound."""
+    """A revoked key must not work for longer than the revocation bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
     state = await world.add_gateway(revoke_seconds=0.5)
@@ -27,7 +27,7 @@
 
 @in_world
 async def test_keys_stay_valid_where_revocation_is_not_bounded(world):
-    """The store is away for longer than the bound; callers are served."""
+    """Callers are served while the store is unreachable beyond the bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
     state = await world.add_gateway(
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -1,4 +1,4 @@
-"""Relay whole answers: at most once, never mixed, true refusals."""
+"""Relay buffered responses: at most once, never mixed up, true refusals."""
 
 import anyio
 from gateway_world import World, ask, dial, in_world, read_answer, request_bytes
@@ -83,7 +83,7 @@
 
 @in_world
 async def test_an_unanswered_request_is_not_sent_again(world):
-    """A reset after the send says nothing: 502, and one run at most."""
+    """A reset after the send leaves the outcome unknown: 502, one run at most."""
     await world.add_upstream(raw())
     await world.add_upstream(raw())
     state = await world.add_gateway()
@@ -113,7 +113,7 @@
 
 @in_world
 async def test_a_not_run_status_without_its_header_is_dropped(world):
-    """An upstream that ran a request must not look as if it had not."""
+    """A 503 that does not state "not run" must not reach the caller as one."""
     await world.add_upstream(whole(503, b'busy'))
     state = await world.add_gateway()
     answer = await ask(state, '/once/7')
@@ -131,7 +131,7 @@
 
 @in_world
 async def test_bytes_after_an_answer_are_dropped(world):
-    """The second answer on a connection is never taken for the next one's."""
+    """A surplus response is never taken for that to the next request."""
     extra = WHOLE.replace(b'done', b'evil')
     upstream = await world.add_upstream(in_turn(raw(WHOLE, extra), whole()))
     state = await world.add_gateway()
@@ -159,7 +159,7 @@
 
 @in_world
 async def test_a_route_timeout_ends_the_request(world):
-    """The answer goes out at the timeout, and the upstream is let go."""
+    """The caller gets a 504 at the timeout, and the upstream call is closed."""
     upstream = await world.add_upstream(silent())
     state = await world.add_gateway()
     answer = await ask(state, '/short/7')
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -1,13 +1,9 @@
-"""Let an upstream say in its answers that it leaves, and nowhere else.
-
-Seen: requests reached an upstream 2.1 to 7.2 s after an entry had passed on an
-answer in which it said that it leaves, bound 2 s; from all nine entries.
-How: the store was away for 13 s, so neither could the upstream write that it
-leaves nor could any node have read it.
-Cause: that an upstream leaves had one source, its entry in the store; its own
-word in each answer was passed on and decided nothing.
-Proof: it got requests in each second until its entry came, also from entries
-that had its word; here the same with the store away and with the store well.
+"""An upstream that states only in its responses that it leaves is drained.
+
+Guards against relying on the upstream's store entry alone. With the store
+unreachable for 13 s the upstream could not write that it leaves, and all nine
+entries still sent it requests 2.1 to 7.2 s after relaying its statement, where
+the bound is 2 s. Tested with the store reachable and unreachable.
 """
 
 from dataclasses import replace
@@ -25,7 +21,7 @@
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
 
-#: Seconds after an entry passed on the word in which requests may still come.
+#: Seconds after an entry relayed the statement in which it may still send.
 DRAIN_SECONDS = 2.0
 PAUSE = 0.05
 ENTRIES = 3
@@ -41,7 +37,7 @@
 
 
 class LeavingUpstream:
-    """Hold what callers and the upstream that leaves saw."""
+    """Record what callers and the leaving upstream receive."""
 
     def __init__(self, upstream):
         self.arrivals = record_arrivals(upstream)
@@ -63,7 +59,7 @@
             await anyio.sleep(PAUSE)
 
     def late_arrivals(self):
-        """Return what arrived later than allowed after an entry was told."""
+        """Return arrivals from entries after their drain time was over."""
         return arrived_after(
             self.arrivals, self.first_relayed_at, DRAIN_SECONDS
         )
@@ -71,7 +67,7 @@
 
 @pytest.mark.parametrize('failing', (0, 503))
 def test_a_leaving_upstream_gets_no_more_requests(failing):
-    """Its entry says that it is ready, or cannot be read at all."""
+    """Its store entry still states ready, or cannot be read at all."""
 
     @in_world
     async def play(world):
@@ -94,7 +90,7 @@
 
 @in_world
 async def test_a_leaving_statement_reaches_all_nodes(world):
-    """A new home too, and those who start later; its entry says ready."""
+    """Also a new home and nodes that start later; its entry states ready."""
     upstreams = [await world.add_upstream(whole()) for _ in range(2)]
     left = {upstreams[1].lifetime}
     async with ending_gateway(world) as (home, life):
@@ -140,7 +136,7 @@
 
 @in_world
 async def test_a_new_lifetime_at_the_address_is_served(world):
-    """What one lifetime said does not hold for the next at its address."""
+    """A lifetime's statement does not apply to the next at its address."""
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
     upstream.says = LEAVING
@@ -161,7 +157,7 @@
     (whole(500), refused(), raw(TRUNCATED), raw(MISMATCHED)),
 )
 def test_a_leaving_statement_counts_however_the_answer_ends(behaviour):
-    """A failure, a refusal, one that breaks off, one to another request."""
+    """A failure, a refusal, a truncated and a mismatched answer."""
 
     @in_world
     async def play(world):
@@ -178,7 +174,7 @@
 
 
 def test_no_listing_revokes_a_leaving_statement():
-    """Neither a newer one that says ready, nor one of another node."""
+    """Neither a newer listing as ready nor another node's listing does."""
     said = set()
     directory = Directory(said)
     directory.apply(1, [LISTED], 0, float('-inf'))
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Relay streams event by event: no gap, no repeat, visible cuts."""
+"""Streams are relayed by event: no gap, no repeat, visible truncation."""
 
 from gateway_world import ask, in_world
 from spanfall_node.gateway.upstreams.event_parts import EventSplitter
@@ -23,7 +23,7 @@
 
 @in_world
 async def test_a_broken_stream_is_visibly_incomplete(world):
-    """The caller sees whole events only, and no proper end."""
+    """The caller gets only complete events, and no end of the body."""
     await world.add_upstream(events(1, 2, ends=False))
     state = await world.add_gateway()
     answer = await ask(state, '/stream/7')
--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -1,8 +1,8 @@
-"""Play drawn courses of what upstreams say against a whole fleet.
+"""Run random scenarios of upstream statements against a whole fleet.
 
-Limits are named, changed, taken back and named again, one upstream leaves, the
-home ends, an entry starts; what arrives is checked from outside. CI plays one
-seed; more by hand:
+Upstreams state, change and withdraw limits, one upstream leaves, the home ends
+and an entry starts. The checks use only what arrives at the upstreams. CI runs
+one seed; to run more:
 
     SPANFALL_SEEDS=20 .venv/bin/pytest tests/test_gateway_word_courses.py
 """
@@ -25,10 +25,10 @@
 PAUSE = 0.06
 ENTRIES = 3
 UPSTREAMS = 3
-#: Seconds after which a limit binds that was first named.
+#: Seconds after which the first limit that an upstream states binds.
 FIRST_LIMIT_GRACE_SECONDS = 3.0
-#: Seconds after it said so in which one that leaves may get requests of an
-#: entry that passed that on.
+#: Seconds after an entry relayed that an upstream leaves in which the entry may
+#: still send it requests.
 DRAIN_SECONDS = 2.0
 RATES = (0, 0.5, 1, 3, 10)
 
@@ -38,14 +38,14 @@
 
 
 class ObservedUpstream:
-    """Hold one upstream, what it said when, and what reached it."""
+    """Record one upstream's statements and the requests that reach it."""
 
     def __init__(self, upstream):
         self.upstream = upstream
-        #: Time and rate of each word; no rate: none is named.
+        #: Time and rate of each statement; None: no limit.
         self.statements = [(anyio.current_time(), None)]
         self.arrivals = record_arrivals(upstream)
-        #: When each entry first passed on each word.
+        #: When each entry first relayed each kind of statement.
         self.limits_relayed_at = {}
         self.leaving_relayed_at = {}
 
@@ -56,7 +56,7 @@
             self.upstream.says['takes-a-second'] = str(rate)
 
     def exceeds_limit(self, end):
-        """Tell whether the span that ends at a time holds too much."""
+        """Tell whether too many requests arrived in the window ending then."""
         begin = end - SPAN - TOLD_AFTER
         later = [*(at for at, _ in self.statements[1:]), float('inf')]
         in_force = [
@@ -77,14 +77,14 @@
         return count > allowed(max(in_force))
 
     def late_arrivals(self):
-        """Return what came from entries that had passed on that it leaves."""
+        """Return arrivals from entries that had relayed that it leaves."""
         return arrived_after(
             self.arrivals, self.leaving_relayed_at, DRAIN_SECONDS
         )
 
 
 class Scenario:
-    """Hold a fleet, its upstreams and what callers got."""
+    """Hold a fleet, its upstreams and the statuses that callers got."""
 
     def __init__(self, world, rng):
         self.world = world
@@ -120,7 +120,7 @@
         except OSError:
             answer = None
         if state not in self.gateways:
-            # It ended just now, perhaps with the answer under way.
+            # The entry has just ended, perhaps before it sent its response.
             return
         self.statuses.append(answer.status)
         now = anyio.current_time()
@@ -134,7 +134,7 @@
             one.leaving_relayed_at.setdefault(entry, now)
 
     async def inject_events(self, until):
-        """Let something happen again and again."""
+        """Apply random events and limits until a time."""
         leaving = self.rng.choice(list(self.observed.values()))
         events = [
             partial(self._leave, leaving),
