--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -56,7 +56,7 @@
             self.upstream.says['takes-a-second'] = str(rate)
 
     def exceeds_limit(self, end):
-        """Tell whether too many requests arrived in the window ending then."""
+        """Tell whether the window that ends at ``end`` holds too many requests."""
         begin = end - SPAN - TOLD_AFTER
         later = [*(at for at, _ in self.statements[1:]), float('inf')]
         in_force = [
