--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -53,8 +53,8 @@
         if not trials.try_begin(request.service, identity, now):
             return GrantMessage(number, standing=standing)
     if standing is not Standing.FREE:
-        ask = request.ask
-        excluded = ask.tried | ask.avoided | withheld
+        routing_request = request.ask
+        excluded = routing_request.tried | routing_request.avoided | withheld
         candidates = _cheapest_to_crash(state, serving, excluded, now)
     grant = _choose_and_grant(
         state,
@@ -94,10 +94,12 @@
     return NO_HOME_RETRY_SECONDS
 
 
-def has_limited_candidate(state: GatewayState, service: str, ask: Ask) -> bool:
+def has_limited_candidate(
+    state: GatewayState, service: str, routing_request: Ask
+) -> bool:
     """Tell whether a rate-limited upstream could serve a request."""
     limited = state.words.table.rates
-    excluded = ask.tried | ask.avoided
+    excluded = routing_request.tried | routing_request.avoided
     return bool(limited) and any(
         row.lifetime in limited and row.lifetime not in excluded
         for row in state.directory.serving(service)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -74,7 +74,7 @@
     async def choose(
         self,
         service: str,
-        ask: Ask,
+        routing_request: Ask,
     ) -> ChoiceOutcome:
         """Return the upstream for a request, if any can serve it.
 
@@ -82,29 +82,29 @@
         calling code has to count the request as running before it next waits.
         """
         state = self.state
-        state.prompts.learn(ask, state.timers.now())
+        state.prompts.learn(routing_request, state.timers.now())
         if state.tenure is not None:
             state.counters.grants.labels(AS_HOME).inc()
-            request = GrantRequest(service, ask)
+            request = GrantRequest(service, routing_request)
             return self._accept_grant(
                 decide_grant(state, state.entry_key, 0, request)
             )
         can_ask = self._questions.is_connected
         if can_ask and state.timers.now() >= self._local_until:
-            choice = await self._request_grant(service, ask)
+            choice = await self._request_grant(service, routing_request)
             if choice is not None:
                 state.counters.grants.labels(GRANTED).inc()
                 return choice
         state.counters.grants.labels(DECIDED_LOCALLY).inc()
-        return self._choose_locally(service, ask)
+        return self._choose_locally(service, routing_request)
 
     async def _request_grant(
         self,
         service: str,
-        ask: Ask,
+        routing_request: Ask,
     ) -> ChoiceOutcome:
         state = self.state
-        request = GrantRequest(service, ask)
+        request = GrantRequest(service, routing_request)
         question = await self._questions.ask(
             lambda number: AskMessage(
                 state.entry_key,
@@ -147,7 +147,7 @@
     def _choose_locally(
         self,
         service: str,
-        ask: Ask,
+        routing_request: Ask,
     ) -> ChoiceOutcome:
         """Choose an upstream from local state.
 
@@ -156,18 +156,20 @@
         """
         state = self.state
         now = state.timers.now()
-        standing = state.crashes.standing(ask.identity, now)
+        standing = state.crashes.standing(routing_request.identity, now)
         if standing in GRANT_REQUIRED:
             return standing
         words = state.words
         choice = choose(
             state.directory.serving(service),
-            ask,
+            routing_request,
             state.loads,
             state.prompts,
             now,
             words.table.rates.keys() | words.backoffs.active(now),
         )
-        if choice is None and has_limited_candidate(state, service, ask):
+        if choice is None and has_limited_candidate(
+            state, service, routing_request
+        ):
             return ComeBack(NO_HOME_RETRY_SECONDS)
         return choice
