--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -9,7 +9,7 @@
 
 
 @in_world
-async def test_keys_are_refused_while_the_store_is_unreachable(world):
+async def test_keys_are_refused_while_store_unreachable(world):
     """A revoked key must not work for longer than the revocation bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
@@ -26,7 +26,7 @@
 
 
 @in_world
-async def test_keys_stay_valid_where_revocation_is_not_bounded(world):
+async def test_keys_work_where_revocation_is_unbounded(world):
     """Callers are served while the store is unreachable beyond the bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(whole())
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -112,7 +112,7 @@
 
 
 @in_world
-async def test_a_not_run_status_without_its_header_is_dropped(world):
+async def test_unmarked_not_run_status_is_dropped(world):
     """A 503 that does not state "not run" must not reach the caller as one."""
     await world.add_upstream(whole(503, b'busy'))
     state = await world.add_gateway()
@@ -121,7 +121,7 @@
 
 
 @in_world
-async def test_a_late_answer_to_another_request_is_dropped(world):
+async def test_late_answer_to_other_request_is_dropped(world):
     late = WHOLE.replace(b'{id}', b'zz')
     await world.add_upstream(raw(late, WHOLE, keep=True))
     state = await world.add_gateway()
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -124,7 +124,7 @@
 
 
 @in_world
-async def test_the_only_upstream_gets_nothing_once_it_leaves(world):
+async def test_a_sole_upstream_that_leaves_gets_nothing(world):
     upstream = await world.add_upstream(whole())
     state = await world.add_gateway()
     upstream.says = LEAVING
@@ -156,7 +156,7 @@
     'behaviour',
     (whole(500), refused(), raw(TRUNCATED), raw(MISMATCHED)),
 )
-def test_a_leaving_statement_counts_however_the_answer_ends(behaviour):
+def test_leaving_counts_however_the_answer_ends(behaviour):
     """A failure, a refusal, a truncated and a mismatched answer."""
 
     @in_world
