--- a/packages/spanfall-core/src/spanfall_core/gateway/routing/estimates.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/routing/estimates.py
@@ -1,6 +1,6 @@
-"""Estimate what a request costs at an upstream.
+"""Estimate the cost of a request at an upstream.
 
-The estimate is a sum of plain terms in seconds; each has a named weight.
+The estimate is a sum of terms in seconds, each with a named weight.
 """
 
 from dataclasses import dataclass
@@ -11,82 +11,90 @@
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.known.prefixes import PromptPart
 
-#: Seconds that a full batch adds to the wait for a first token.
+#: Seconds that a full batch adds to the time to the first token.
 FULL_BATCH_SECONDS = 0.25
-#: Seconds that a request waits for each full batch queued before it.
-QUEUE_SECONDS = 1.5
-#: Seconds that a plain call holds a slot, assumed until measured.
+#: Seconds of wait for each full batch that is queued before a request.
+QUEUED_BATCH_SECONDS = 1.5
+#: Seconds that a call without a prompt is assumed to hold a slot.
 CALL_SECONDS = 0.1
-#: Seconds that each recent failure of an upstream counts for.
-FAILURE_SECONDS = 0.5
-#: Seconds that another data centre counts for: its way and its price.
-FAR_SECONDS = 0.004
-#: Seconds of reading without a token that streams bear; while a prompt is
-#: read, all streams of its upstream stand still.
-BEARABLE_STALL = 0.25
-#: Seconds that each second of a longer stall counts for, for each stream.
+#: Penalty in seconds for each recent failure of an upstream.
+FAILURE_PENALTY_SECONDS = 0.5
+#: Penalty in seconds for another data centre: its latency and its price.
+REMOTE_PENALTY_SECONDS = 0.004
+#: Seconds without a token that streams tolerate. The prefill of a prompt stalls
+#: all streams of its upstream.
+TOLERATED_STALL_SECONDS = 0.25
+#: Cost in seconds, per stream, of each second of stall beyond that.
 STALL_WEIGHT = 1.0
 
 
-class KnownLoads(Protocol):
-    """Tell what a choice has to know of each upstream."""
+class UpstreamLoads(Protocol):
+    """Provide the loads of upstreams that a choice depends on."""
 
     def running_at(self, lifetime: Lifetime) -> int:
-        """Return the requests that run there, fleet wide."""
+        """Return the requests that run at an upstream, fleet-wide."""
 
     def prefill_at(self, lifetime: Lifetime) -> int:
-        """Return the prompt tokens that are still to be read there."""
+        """Return the prompt tokens that an upstream has still to read."""
 
     def failures_at(self, lifetime: Lifetime, now: float) -> float:
-        """Return the recent failures there."""
+        """Return the recent failures of an upstream."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """State what the choice for one request depends on."""
+class RoutingRequest:
+    """Describe one request as far as the choice of an upstream needs it."""
 
     attempt_id: str
     data_centre: str
     parts: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
-    #: Upstreams that were tried already.
+    #: Upstreams that were already tried.
     tried: frozenset[Lifetime] = frozenset()
-    #: Name of the request at each attempt.
+    #: Identity of the request, the same for each attempt.
     identity: RequestIdentity = RequestIdentity('')
-    #: Upstreams that want nothing from the entry that asks.
+    #: Upstreams that asked this entry to back off.
     avoided: frozenset[Lifetime] = frozenset()
 
 
 def estimate(
     row: ListedUpstream,
-    ask: Ask,
-    loads: KnownLoads,
+    request: RoutingRequest,
+    loads: UpstreamLoads,
     prefill: int,
     rate: float,
     now: float,
 ) -> float:
-    """Estimate what a request costs at one upstream, in seconds.
+    """Estimate the cost of a request at one upstream, in seconds.
 
-    This is its time to the first token, and the time that the streams which
-    run there stand still for it. ``rate`` is in tokens read a second.
+    This is its time to the first token plus the time for which it stalls the
+    streams that run there. ``rate`` is the prefill speed in tokens per second.
     """
     lifetime = row.lifetime
     running = loads.running_at(lifetime)
-    reading = (loads.prefill_at(lifetime) + prefill) / rate
-    seconds = _batch_seconds(row, running, ask) + row.warm_up / 10 + reading
-    if reading > BEARABLE_STALL:
-        seconds += running * STALL_WEIGHT * (reading - BEARABLE_STALL)
-    seconds += loads.failures_at(lifetime, now) * FAILURE_SECONDS
-    if row.data_centre != ask.data_centre:
-        seconds += FAR_SECONDS
+    prefill_seconds = (loads.prefill_at(lifetime) + prefill) / rate
+    seconds = (
+        _batch_seconds(row, running, request)
+        + row.warm_up / 10
+        + prefill_seconds
+    )
+    if prefill_seconds > TOLERATED_STALL_SECONDS:
+        seconds += (
+            running * STALL_WEIGHT * (prefill_seconds - TOLERATED_STALL_SECONDS)
+        )
+    seconds += loads.failures_at(lifetime, now) * FAILURE_PENALTY_SECONDS
+    if row.data_centre != request.data_centre:
+        seconds += REMOTE_PENALTY_SECONDS
     return seconds
 
 
-def _batch_seconds(row: ListedUpstream, running: int, ask: Ask) -> float:
+def _batch_seconds(
+    row: ListedUpstream, running: int, request: RoutingRequest
+) -> float:
     slots = max(1, row.slots)
-    if not ask.prompt_tokens:
+    if not request.prompt_tokens:
         return CALL_SECONDS * running / slots + CALL_SECONDS * (
             max(0, running + 1 - slots) / slots
         )
     seconds = FULL_BATCH_SECONDS * running / slots
-    return seconds + QUEUE_SECONDS * max(0, running + 1 - slots) / slots
+    return seconds + QUEUED_BATCH_SECONDS * max(0, running + 1 - slots) / slots
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -9,7 +9,7 @@
 import logging
 
 import anyio
-from spanfall_core.gateway.known.reporting import unheard_after
+from spanfall_core.gateway.known.reporting import load_expires_after
 from spanfall_core.gateway.routing.grants import EntryLoad
 from websockets.asyncio.server import ServerConnection, serve
 from websockets.exceptions import WebSocketException
@@ -124,7 +124,7 @@
                 self._state.follow_home(message.home, now)
             case LoadMessage():
                 book = self._state.grant_book
-                book.learn(message.entry, message.load, now)
+                book.apply_report(message.entry, message.load, now)
             case WatchedRun():
                 self._state.crashes.note_run(message, now)
             case WordsReport():
@@ -166,7 +166,7 @@
 
     def _grant(self, message: AskMessage, now: float) -> GrantMessage:
         state = self._state
-        state.grant_book.learn(message.entry, message.load, now)
+        state.grant_book.apply_report(message.entry, message.load, now)
         return decide_grant(
             state, message.entry, message.number, message.request
         )
@@ -187,12 +187,12 @@
         state.learn_report(state.own_report(), now)
         load = EntryLoad(report.running, report.prefill, message.seen)
         period = state.fleet.period(now)
-        state.grant_book.learn(report.key, load, now)
-        state.grant_book.expect(report.key, unheard_after(period))
-        state.grant_book.forget_silent(now)
+        state.grant_book.apply_report(report.key, load, now)
+        state.grant_book.set_load_expiry(report.key, load_expires_after(period))
+        state.grant_book.drop_silent_entries(now)
         totals = None
         if message.wants_totals:
-            totals = state.fleet.others(report.key, now)
+            totals = state.fleet.totals_except(report.key, now)
         return TableMessage(
             epoch=state.tenure.epoch,
             entries=state.fleet.size(now),
@@ -201,7 +201,7 @@
             configuration_version=state.version,
             proof_age=min(state.freshness.age(now), NEVER_SECONDS),
             upstreams_age=min(
-                now - state.directory.proved_at,
+                now - state.directory.confirmed_at,
                 NEVER_SECONDS,
             ),
             true_time=state.true_time.at(now),
@@ -220,7 +220,7 @@
         now: float,
     ) -> WordsPart | None:
         table = self._state.words.table
-        words = table.words_since(message.words_version, now)
+        words = table.changes_since(message.words_version, now)
         return WordsPart(table.version, words) if words else None
 
     def _configuration(
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
@@ -2,8 +2,8 @@
 
 import anyio
 from spanfall_core.gateway.crashes.crashes import Standing
-from spanfall_core.gateway.routing.estimates import Ask
-from spanfall_core.gateway.routing.grants import ComeBack
+from spanfall_core.gateway.routing.estimates import RoutingRequest
+from spanfall_core.gateway.routing.grants import RetryAfter
 
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.attempt import Exchange
@@ -47,8 +47,8 @@
         now = state.timers.now()
         if choice is Standing.SUSPECT:
             seconds, until = TRIAL_POLL_SECONDS, began_at + TRIAL_WAIT_SECONDS
-        elif isinstance(choice, ComeBack):
-            choice = ComeBack(max(MIN_PERMIT_WAIT_SECONDS, choice.seconds))
+        elif isinstance(choice, RetryAfter):
+            choice = RetryAfter(max(MIN_PERMIT_WAIT_SECONDS, choice.seconds))
             seconds, until = choice.seconds, permit_wait_until
         else:
             return choice
@@ -57,27 +57,27 @@
         await anyio.sleep(seconds)
 
 
-def _routing_request(state: GatewayState, exchange: Exchange) -> Ask:
+def _routing_request(state: GatewayState, exchange: Exchange) -> RoutingRequest:
     admitted = exchange.admitted
-    return Ask(
+    return RoutingRequest(
         admitted.attempt_id,
         state.cfg.data_centre,
         admitted.parts,
         admitted.prompt_tokens,
         frozenset(exchange.tried),
         admitted.identity,
-        state.words.backoffs.named(state.timers.now()),
+        state.words.backoffs.newest(state.timers.now()),
     )
 
 
 def _retry_after_backoff(
     state: GatewayState,
     service: str,
-    routing_request: Ask,
+    routing_request: RoutingRequest,
     choice: ChoiceOutcome,
 ) -> ChoiceOutcome:
     """Return when to retry if only back-offs prevent a choice."""
-    if choice is not None and not isinstance(choice, ComeBack):
+    if choice is not None and not isinstance(choice, RetryAfter):
         return choice
     rows = state.directory.serving(service)
     untried = (
@@ -85,10 +85,14 @@
         for row in rows
         if row.lifetime not in routing_request.tried
     )
-    backoff = state.words.backoffs.first_end(untried, state.timers.now())
+    backoff = state.words.backoffs.seconds_until_first_end(
+        untried, state.timers.now()
+    )
     if backoff is None:
         return choice
-    return ComeBack(backoff if choice is None else min(backoff, choice.seconds))
+    return RetryAfter(
+        backoff if choice is None else min(backoff, choice.seconds)
+    )
 
 
 def seconds_until_backoff_ends(
@@ -98,5 +102,5 @@
     now = state.timers.now()
     lifetimes = [row.lifetime for row in state.directory.serving(service)]
     if state.words.backoffs.active(now) >= set(lifetimes):
-        return state.words.backoffs.first_end(lifetimes, now)
+        return state.words.backoffs.seconds_until_first_end(lifetimes, now)
     return None
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 import anyio
-from spanfall_core.gateway.crashes.crashes import Sign
+from spanfall_core.gateway.crashes.crashes import ProbeResult
 from spanfall_core.gateway.known.identity import RequestIdentity
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
@@ -60,7 +60,7 @@
     pool: ConnectionPool
     _send: Send | None = field(default=None)
     #: Time and result of the last probe of each upstream.
-    _probe_results: dict[Lifetime, tuple[float, Sign]] = field(
+    _probe_results: dict[Lifetime, tuple[float, ProbeResult]] = field(
         default_factory=dict
     )
     #: Requests whose upstream is to be probed, and the event set by a new one.
@@ -85,7 +85,7 @@
         The home receives the report before a request for another upstream.
         """
         probe_result = await self._probe_after_break(upstream)
-        if probe_result is Sign.LIVES:
+        if probe_result is ProbeResult.ALIVE:
             await self.report_run(identity, RunStage.OVER)
             return
         await self._record(identity, upstream, probe_result)
@@ -114,7 +114,7 @@
                 probe_result = await self._probe_rate_limited(
                     unanswered.upstream
                 )
-                if probe_result in {Sign.ENDED, Sign.NO_ANSWER}:
+                if probe_result in {ProbeResult.ENDED, ProbeResult.NO_ANSWER}:
                     await self._record(
                         unanswered.identity, unanswered.upstream, probe_result
                     )
@@ -145,36 +145,38 @@
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
-        probe_result: Sign,
+        probe_result: ProbeResult,
     ) -> None:
         """Record what a probe showed, and report it to the home."""
         crashes = self.state.crashes
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        if probe_result is Sign.ENDED:
+        if probe_result is ProbeResult.ENDED:
             crashes.note_end(identity, lifetime, now)
             report = CrashReport({identity: (lifetime,)})
         else:
-            is_strong = probe_result is Sign.NO_ANSWER
+            is_strong = probe_result is ProbeResult.NO_ANSWER
             crashes.note_doubt(identity, lifetime, now, is_strong=is_strong)
             report = CrashReport(doubts={identity: {lifetime: is_strong}})
         if self._send is not None:
             await self._send(report)
 
-    async def _probe_after_break(self, upstream: ListedUpstream) -> Sign:
+    async def _probe_after_break(self, upstream: ListedUpstream) -> ProbeResult:
         """Probe an upstream just after a send to it broke."""
         before = self.pool.open_connections(upstream.lifetime)
         probe_result = await _probe(upstream.address)
-        if probe_result is not Sign.TAKES_CONNECTIONS:
+        if probe_result is not ProbeResult.ACCEPTS_CONNECTIONS:
             return probe_result
         after = self.pool.open_connections(upstream.lifetime)
-        return Sign.LIVES if before & after else probe_result
+        return ProbeResult.ALIVE if before & after else probe_result
 
-    async def _probe_rate_limited(self, upstream: ListedUpstream) -> Sign:
+    async def _probe_rate_limited(
+        self, upstream: ListedUpstream
+    ) -> ProbeResult:
         now = self.state.timers.now()
         lifetime = upstream.lifetime
         probed_at, probe_result = self._probe_results.get(
-            lifetime, (-math.inf, Sign.LIVES)
+            lifetime, (-math.inf, ProbeResult.ALIVE)
         )
         if now - probed_at < PROBE_PERIOD:
             return probe_result
@@ -188,15 +190,17 @@
         return probe_result
 
 
-async def _probe(address: str) -> Sign:
+async def _probe(address: str) -> ProbeResult:
     try:
         conn = await connect(address, PROBE_TIMEOUT_SECONDS)
     except NobodyListensError:
-        return Sign.ENDED
+        return ProbeResult.ENDED
     except NotSentError:
-        return Sign.NO_ANSWER
+        return ProbeResult.NO_ANSWER
     try:
         is_closed = await conn.ends_within(CLOSE_WAIT_SECONDS)
     finally:
         await conn.close()
-    return Sign.NO_ANSWER if is_closed else Sign.TAKES_CONNECTIONS
+    return (
+        ProbeResult.NO_ANSWER if is_closed else ProbeResult.ACCEPTS_CONNECTIONS
+    )
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -7,7 +7,7 @@
 from spanfall_core.gateway.known.lifetimes import Lifetime
 from spanfall_core.gateway.known.listed import ListedUpstream
 from spanfall_core.gateway.routing.balance import choose
-from spanfall_core.gateway.routing.estimates import Ask
+from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import FleetLoads, Grant
 
 from spanfall_node.gateway.links.messages import GrantMessage, GrantRequest
@@ -43,7 +43,7 @@
     if standing in UNGRANTED_STANDINGS:
         return GrantMessage(number, standing=standing)
     if not request.ask.tried:
-        state.grant_book.asked[request.service] += 1
+        state.grant_book.first_attempts[request.service] += 1
     serving = state.directory.serving(request.service)
     withheld = _withheld(state, now)
     candidates = serving
@@ -95,7 +95,7 @@
 
 
 def has_limited_candidate(
-    state: GatewayState, service: str, routing_request: Ask
+    state: GatewayState, service: str, routing_request: RoutingRequest
 ) -> bool:
     """Tell whether a rate-limited upstream could serve a request."""
     limited = state.words.table.rates
@@ -136,7 +136,7 @@
     withheld: AbstractSet[Lifetime],
 ) -> Grant | None:
     now = state.timers.now()
-    state.granted_prompts.learn(request.ask, now)
+    state.granted_prompts.record_prompt(request.ask, now)
     choice = choose(
         candidates,
         request.ask,
@@ -150,7 +150,7 @@
     lifetime = choice.upstream.lifetime
     is_permit = state.words.permits.take(lifetime, now)
     prefixes = state.granted_prompts.prefixes
-    prefixes.remember(lifetime, request.ask.parts)
+    prefixes.record(lifetime, request.ask.parts)
     grant = Grant(
         number,
         lifetime,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -11,8 +11,8 @@
 
 from spanfall_core.gateway.crashes.crashes import Standing
 from spanfall_core.gateway.routing.balance import Choice, choose
-from spanfall_core.gateway.routing.estimates import Ask
-from spanfall_core.gateway.routing.grants import ComeBack, EntryLoad
+from spanfall_core.gateway.routing.estimates import RoutingRequest
+from spanfall_core.gateway.routing.grants import EntryLoad, RetryAfter
 
 from spanfall_node.gateway.links.messages import (
     AskMessage,
@@ -39,7 +39,7 @@
     (Standing.SUSPECT, Standing.HELD, Standing.QUARANTINED),
 )
 #: Result of a choice; None if no upstream can serve the request.
-ChoiceOutcome = Choice | ComeBack | Standing | None
+ChoiceOutcome = Choice | RetryAfter | Standing | None
 
 #: How a choice was made, used as metric labels.
 AS_HOME = 'as-home'
@@ -74,7 +74,7 @@
     async def choose(
         self,
         service: str,
-        routing_request: Ask,
+        routing_request: RoutingRequest,
     ) -> ChoiceOutcome:
         """Return the upstream for a request, if any can serve it.
 
@@ -82,7 +82,7 @@
         calling code has to count the request as running before it next waits.
         """
         state = self.state
-        state.prompts.learn(routing_request, state.timers.now())
+        state.prompts.record_prompt(routing_request, state.timers.now())
         if state.tenure is not None:
             state.counters.grants.labels(AS_HOME).inc()
             request = GrantRequest(service, routing_request)
@@ -101,7 +101,7 @@
     async def _request_grant(
         self,
         service: str,
-        routing_request: Ask,
+        routing_request: RoutingRequest,
     ) -> ChoiceOutcome:
         state = self.state
         request = GrantRequest(service, routing_request)
@@ -130,7 +130,7 @@
         if grant is None:
             if answer.standing in GRANT_REQUIRED:
                 return answer.standing
-            return ComeBack(answer.wait) if answer.wait else None
+            return RetryAfter(answer.wait) if answer.wait else None
         row = self.state.directory.rows.get(grant.lifetime)
         if row is None or not row.is_serving:
             return None
@@ -147,7 +147,7 @@
     def _choose_locally(
         self,
         service: str,
-        routing_request: Ask,
+        routing_request: RoutingRequest,
     ) -> ChoiceOutcome:
         """Choose an upstream from local state.
 
@@ -171,5 +171,5 @@
         if choice is None and has_limited_candidate(
             state, service, routing_request
         ):
-            return ComeBack(NO_HOME_RETRY_SECONDS)
+            return RetryAfter(NO_HOME_RETRY_SECONDS)
         return choice
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -3,7 +3,10 @@
 import logging
 
 from spanfall_core.gateway.known.lifetimes import Lifetime
-from spanfall_core.gateway.known.statements import News, Words
+from spanfall_core.gateway.known.statements import (
+    KnownStatements,
+    StatementChange,
+)
 
 from spanfall_node.gateway.net.client import AnswerHead
 from spanfall_node.gateway.tables.state import GatewayState
@@ -36,10 +39,10 @@
         state.timers.now(),
         is_signed=bool(head.header(state.platform.names.signature)),
     )
-    if News.LEAVES in changes:
-        state.directory.note_words((lifetime,))
+    if StatementChange.LEAVES in changes:
+        state.directory.apply_statements((lifetime,))
     if statement.backoff:
-        changes.append(News.BACK_OFF)
+        changes.append(StatementChange.BACK_OFF)
     for one in changes:
         state.counters.statements.labels(one.value).inc()
     if changes:
@@ -52,7 +55,7 @@
         )
 
 
-def merge_statements(state: GatewayState, words: Words) -> None:
+def merge_statements(state: GatewayState, words: KnownStatements) -> None:
     """Merge the upstream statements that another node has recorded."""
     changes = state.words.learn(words, state.timers.now())
-    state.directory.note_words(changes)
+    state.directory.apply_statements(changes)
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -11,11 +11,11 @@
 import anyio
 from spanfall_core.gateway.crashes.crashes import Standing
 from spanfall_core.gateway.routing.balance import Choice
-from spanfall_core.gateway.routing.grants import ComeBack
+from spanfall_core.gateway.routing.grants import RetryAfter
 from spanfall_core.gateway.routing.sends import (
     RETRY_REASONS,
     NextStep,
-    SendEnd,
+    SendOutcome,
     next_step,
 )
 from spanfall_core.reasons import RefusalReason
@@ -121,7 +121,7 @@
 ) -> None:
     while True:
         choice = await choose_or_wait(state, access.grants, exchange)
-        if choice is None or isinstance(choice, ComeBack):
+        if choice is None or isinstance(choice, RetryAfter):
             await _end_without_upstream(state, exchange, choice)
             return
         if isinstance(choice, Standing):
@@ -173,7 +173,7 @@
     send_result = await _send_or_queue_probe(state, access, exchange, choice)
     if (
         isinstance(send_result, Failed)
-        and send_result.outcome is SendEnd.BROKEN
+        and send_result.outcome is SendOutcome.BROKEN
     ):
         await access.crash_detector.check_broken_send(identity, choice.upstream)
     elif is_watched:
@@ -206,7 +206,7 @@
 async def _end_without_upstream(
     state: GatewayState,
     exchange: Exchange,
-    retry_after: ComeBack | None,
+    retry_after: RetryAfter | None,
 ) -> None:
     if exchange.started:
         await _abort_response(state, exchange, 'no upstream is left')
