--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -55,7 +55,7 @@
         )
 
 
-def merge_statements(state: GatewayState, words: KnownStatements) -> None:
+def merge_statements(state: GatewayState, statements: KnownStatements) -> None:
     """Merge the upstream statements that another node has recorded."""
-    changes = state.words.learn(words, state.timers.now())
+    changes = state.words.learn(statements, state.timers.now())
     state.directory.apply_statements(changes)
