--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_node.gateway.links.messages import UnitsMessage, UnitsRequest
-from spanfall_node.gateway.links.questions import Questions, Send
+from spanfall_node.gateway.links.questions import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 
 #: Timeout for the home's answer in seconds: half of the maximum admission wait
@@ -26,7 +26,7 @@
     """Request units over the entry's link to the home."""
 
     state: GatewayState
-    _questions: Questions[float] = field(default_factory=Questions)
+    _questions: PendingRequests[float] = field(default_factory=PendingRequests)
 
     def connect(self, send: Send) -> None:
         """Send requests over this link from now on."""
@@ -45,8 +45,8 @@
         """
         state = self.state
         now = state.timers.now()
-        state.quotas.learn_lent(message.workspace, message.units, now)
-        self._questions.learn(message.number, message.units)
+        state.quotas.apply_lent(message.workspace, message.units, now)
+        self._questions.resolve(message.number, message.units)
 
     async def obtain(self, workspace: str, units: float) -> bool:
         """Request the units that are missing; return whether the home lent any."""
@@ -68,7 +68,7 @@
         if state.tenure is not None:
             now = state.timers.now()
             lent = state.lend_units(state.entry_key, workspace, missing, now)
-            state.quotas.learn_lent(workspace, lent, now)
+            state.quotas.apply_lent(workspace, lent, now)
             return LENT if lent else NONE_LEFT
         question = await self._questions.ask(
             lambda number: UnitsRequest(
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
@@ -194,7 +194,7 @@
     limit = state.limits_at(now)[workspace.name]
     if state.quotas.try_spend(workspace.name, limit, units, now):
         return
-    held_units = state.quotas.left(workspace.name, limit, now)
+    held_units = state.quotas.available(workspace.name, limit, now)
     refill_seconds = (units - held_units) / workspace.rate
     raise UnitsMissingError(
         workspace.name,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -86,7 +86,7 @@
         """
         probe_result = await self._probe_after_break(upstream)
         if probe_result is ProbeResult.ALIVE:
-            await self.report_run(identity, RunStage.OVER)
+            await self.report_run(identity, RunStage.INCOMPLETE)
             return
         await self._record(identity, upstream, probe_result)
 
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -148,7 +148,7 @@
     if choice is None:
         return None
     lifetime = choice.upstream.lifetime
-    is_permit = state.words.permits.take(lifetime, now)
+    is_permit = state.words.permits.acquire(lifetime, now)
     prefixes = state.granted_prompts.prefixes
     prefixes.record(lifetime, request.ask.parts)
     grant = Grant(
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -15,11 +15,11 @@
 from spanfall_core.gateway.routing.grants import EntryLoad, RetryAfter
 
 from spanfall_node.gateway.links.messages import (
-    AskMessage,
     GrantMessage,
     GrantRequest,
+    GrantRequestMessage,
 )
-from spanfall_node.gateway.links.questions import Questions, Send
+from spanfall_node.gateway.links.questions import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.granting import (
     NO_HOME_RETRY_SECONDS,
@@ -52,7 +52,9 @@
     """Choose upstreams with the home's grants or, without a home, locally."""
 
     state: GatewayState
-    _questions: Questions[GrantMessage] = field(default_factory=Questions)
+    _questions: PendingRequests[GrantMessage] = field(
+        default_factory=PendingRequests
+    )
     _local_until: float = 0
 
     def connect(self, send: Send) -> None:
@@ -65,11 +67,11 @@
 
     def accept_answer(self, answer: GrantMessage) -> None:
         """Resolve a pending request; a late answer is ignored."""
-        self._questions.learn(answer.number, answer)
+        self._questions.resolve(answer.number, answer)
 
     def load(self) -> EntryLoad:
         """Return the local load and the last grant number that it includes."""
-        return self.state.own_load(self._questions.settled)
+        return self.state.own_load(self._questions.last_settled)
 
     async def choose(
         self,
@@ -106,7 +108,7 @@
         state = self.state
         request = GrantRequest(service, routing_request)
         question = await self._questions.ask(
-            lambda number: AskMessage(
+            lambda number: GrantRequestMessage(
                 state.entry_key,
                 number,
                 request,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/relay.py
@@ -178,7 +178,9 @@
         await access.crash_detector.check_broken_send(identity, choice.upstream)
     elif is_watched:
         is_complete = isinstance(send_result, Answered)
-        await report_run(RunStage.WHOLE if is_complete else RunStage.OVER)
+        await report_run(
+            RunStage.COMPLETE if is_complete else RunStage.INCOMPLETE
+        )
     return send_result
 
 
--- a/tests/test_gateway_word_courses.py
+++ b/tests/test_gateway_word_courses.py
@@ -15,7 +15,7 @@
 import pytest
 from arrivals import arrived_after, record_arrivals
 from gateway_world import ask, in_world
-from named_limit_checker import SPAN, TOLD_AFTER, allowed
+from named_limit_checker import LIMIT_KNOWN_AFTER, WINDOW_SECONDS, allowed
 from spanfall_standins.gateway.upstream import whole
 from support import wait_until
 from test_gateway_succession import is_home
@@ -57,7 +57,7 @@
 
     def exceeds_limit(self, end):
         """Tell whether the window that ends at ``end`` holds too many requests."""
-        begin = end - SPAN - TOLD_AFTER
+        begin = end - WINDOW_SECONDS - LIMIT_KNOWN_AFTER
         later = [*(at for at, _ in self.statements[1:]), float('inf')]
         in_force = [
             rate
@@ -71,9 +71,11 @@
         if None in in_force or end < since + FIRST_LIMIT_GRACE_SECONDS:
             return False
         from_informed = arrived_after(
-            self.arrivals, self.limits_relayed_at, TOLD_AFTER
+            self.arrivals, self.limits_relayed_at, LIMIT_KNOWN_AFTER
+        )
+        count = sum(
+            end - WINDOW_SECONDS < one.at <= end for one in from_informed
         )
-        count = sum(end - SPAN < one.at <= end for one in from_informed)
         return count > allowed(max(in_force))
 
     def late_arrivals(self):
