--- a/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/duties/duties.py
@@ -1,4 +1,4 @@
-"""Make the calls that one node makes for the whole fleet."""
+"""Call the cloud API on behalf of the whole fleet."""
 
 import logging
 
@@ -16,40 +16,40 @@
 
 logger = logging.getLogger(__name__)
 
-#: Key of the record of the usage windows that were sent.
+#: Store key of the record of the usage windows that were sent.
 USAGE_KEY = 'spanfall/usage'
-#: Seconds between two looks at what is due.
-LOOK_PERIOD = 0.5
-#: Seconds after the end of a window at which all entries have reported it.
+#: Seconds between two checks for windows that are due.
+CHECK_PERIOD = 0.5
+#: Seconds after the end of a window until all entries have reported it.
 SETTLE_SECONDS = 2.0
-#: Seconds for one call to the cloud API.
-CLOUD_SECONDS = 1.5
-#: Windows that the record keeps, for a holder that must repeat one.
+#: Timeout of one call to the cloud API, in seconds.
+CLOUD_TIMEOUT_SECONDS = 1.5
+#: Windows kept in the record, for a home that has to resend one.
 RECORDED_WINDOWS = 3
-#: Windows before the one just sent whose counts are kept.
-COUNTED_WINDOWS = 8
+#: Windows before the last sent one whose counts are kept in memory.
+RETAINED_WINDOWS = 8
 
 
 class UsageRecord(msgspec.Struct):
-    """Hold the newest windows with the counts that were sent for them."""
+    """Store the newest windows with the counts that were sent for them."""
 
     windows: WindowCounts
-    #: Timeline of the store on which it was written.
+    #: Timeline of the store on which the record was written.
     timeline: int = 0
 
 
-class Cloud:
-    """Call the cloud API, only while this node certainly is the home."""
+class CloudClient:
+    """Call the cloud API, only while this node is certain to be the home."""
 
     def __init__(self, state: GatewayState, pool: ConnectionPool) -> None:
-        """Use the tables and the connections of the node."""
+        """Use the state and the connection pool of the node."""
         self._state = state
         self._pool = pool
 
     def may_act(self) -> bool:
-        """Tell whether this node may act for the fleet now.
+        """Tell whether this node may call the cloud for the fleet now.
 
-        A new home waits as long as calls of the one before may arrive.
+        A new home waits until no call of its predecessor can still arrive.
         """
         state = self._state
         now = state.timers.now()
@@ -61,7 +61,7 @@
         return waited >= state.cfg.bounds.duty_lease_seconds
 
     async def call(self, name: str, call: HttpCall) -> int:
-        """Make one call; return its status, or 0 where nobody knows."""
+        """Make one call and return its status, or 0 if it is unknown."""
         state = self._state
         if not self.may_act():
             return 0
@@ -70,15 +70,15 @@
                 self._pool,
                 state.cfg.cloud,
                 call,
-                CLOUD_SECONDS,
+                CLOUD_TIMEOUT_SECONDS,
             )
         except CallError as exc:
             state.counters.orders.labels(f'{name} failed').inc()
-            logger.warning('The cloud did not answer %s: %s', name, exc.reason)
+            logger.warning('Cloud call %s failed: %s', name, exc.reason)
             return 0
         state.counters.orders.labels(f'{name} {reply.status}').inc()
         logger.info(
-            'The cloud answered %s with %s: %s',
+            'Cloud call %s returned status %s: %s',
             name,
             reply.status,
             call.body.decode(),
@@ -86,51 +86,54 @@
         return reply.status
 
 
-class UsageDuty:
-    """Report the runs of each window once, with one content.
+class UsageReporter:
+    """Report the usage of each window idempotently.
 
     The counts are recorded in the store before they are sent, so that a
-    holder that takes over repeats them instead of making new ones.
+    succeeding home resends the same counts instead of computing new ones.
     """
 
     def __init__(
         self,
         state: GatewayState,
         store: StoreClient,
-        cloud: Cloud,
+        cloud: CloudClient,
     ) -> None:
-        """Use the tables of the node, the store and the cloud."""
+        """Use the state of the node, the store and the cloud client."""
         self._state = state
         self._store = store
         self._cloud = cloud
         self._epoch = 0
-        #: This node's last time as home in which it reported.
-        self._tenure: Tenure | None = None
+        #: This node's last tenure in which it reported.
+        self._reporting_tenure: Tenure | None = None
         self._revision = 0
         self._record = UsageRecord({})
         self._unsent: list[int] = []
-        #: First window of a holder that does not know what was sent before:
+        #: First window to report, if it is unknown which were sent before:
         #: earlier ones may have been sent with other counts.
-        self._first: int | None = None
+        self._first_window: int | None = None
 
     async def run(self) -> None:
-        """Report what is due until cancelled."""
+        """Report the windows that are due, until cancelled."""
         while True:
-            await anyio.sleep(LOOK_PERIOD)
+            await anyio.sleep(CHECK_PERIOD)
             if not self._cloud.may_act():
                 continue
             try:
                 await self._step()
             except StoreError as exc:
                 self._epoch = 0
-                logger.info('Could not record the usage: %r', exc)
+                logger.info(
+                    'Could not access the usage record in the store: %r',
+                    exc,
+                )
 
     async def _step(self) -> None:
         tenure = self._state.tenure
         if self._epoch != tenure.epoch:
             await self._take_over(tenure)
-        for late in list(self._unsent):
-            if not await self._send(late):
+        for unsent in list(self._unsent):
+            if not await self._send(unsent):
                 return
         due = self._due_window()
         window = self._next_window(due)
@@ -150,10 +153,10 @@
         if record is None or record.timeline != tenure.timeline:
             record, first = self._restored(record, tenure)
         self._record = record
-        self._first = first
+        self._first_window = first
         self._revision = 0 if item is None else item.revision
         self._unsent = sorted(record.windows)
-        self._tenure = tenure
+        self._reporting_tenure = tenure
         self._epoch = tenure.epoch
 
     def _restored(
@@ -161,27 +164,31 @@
         record: UsageRecord | None,
         tenure: Tenure,
     ) -> tuple[UsageRecord, int | None]:
-        """Return what was sent, and the first window that surely was not.
+        """Return the sent windows and the first that was certainly not sent.
 
-        Windows may have been sent whose record is lost.
+        A restore of the store may have lost records of sent windows.
         """
         next_due = self._due_window() + 1
         if record is None:
             return UsageRecord({}), next_due
-        if self._knows_all():
+        if self._has_complete_record():
             return UsageRecord(record.windows | self._record.windows), None
-        none_reported = tenure.is_first and self._tenure is None
+        none_reported = tenure.is_first and self._reporting_tenure is None
         return record, None if none_reported else next_due
 
-    def _knows_all(self) -> bool:
-        """Tell whether no other node can have sent any since this one did.
+    def _has_complete_record(self) -> bool:
+        """Tell whether no other node can have sent windows since this one.
 
-        A new home waits before it acts, and the store was restored sooner.
+        A new home waits for the duty lease before it calls the cloud, and the
+        store was restored before that time had passed.
         """
-        if self._tenure is None:
+        if self._reporting_tenure is None:
             return False
-        waits = self._state.cfg.bounds.duty_lease_seconds
-        return self._store.timeline_since < self._tenure.renewed_at + waits
+        wait_seconds = self._state.cfg.bounds.duty_lease_seconds
+        return (
+            self._store.timeline_since
+            < self._reporting_tenure.renewed_at + wait_seconds
+        )
 
     def _due_window(self) -> int:
         """Return the newest window whose counts are complete."""
@@ -190,8 +197,8 @@
         return state.usage.window_of(true_time - SETTLE_SECONDS) - 1
 
     def _next_window(self, due: int) -> int:
-        """Return the first window that was not recorded yet."""
-        first = self._first
+        """Return the first window that is not recorded yet."""
+        first = self._first_window
         if self._record.windows:
             unrecorded = max(self._record.windows) + 1
             return unrecorded if first is None else max(unrecorded, first)
@@ -199,12 +206,12 @@
             return first
         state = self._state
         state.learn_report(state.own_report(), state.timers.now())
-        known = [
+        reported = [
             window
             for windows in state.fleet.usage.by_entry.values()
             for window in windows
         ]
-        return min(known, default=due + 1)
+        return min(reported, default=due + 1)
 
     async def _record_window(self, window: int) -> None:
         state = self._state
@@ -214,10 +221,10 @@
         kept = sorted(windows)[-RECORDED_WINDOWS:]
         record = UsageRecord(
             {key: windows[key] for key in kept},
-            self._tenure.timeline,
+            self._reporting_tenure.timeline,
         )
         self._revision = await self._store.write_as_home(
-            self._tenure,
+            self._reporting_tenure,
             Write(USAGE_KEY, msgspec.json.encode(record)),
             self._revision,
         )
@@ -235,10 +242,13 @@
         status = await self._cloud.call('usage', call)
         if status == 200:
             self._unsent.remove(window)
-            state.fleet.usage.drop_before(window - COUNTED_WINDOWS)
+            state.fleet.usage.drop_before(window - RETAINED_WINDOWS)
             return True
         if 400 <= status < 500 and status != 429:
-            logger.error('The cloud refused the usage of window %s', window)
+            logger.error(
+                'The cloud refused the usage report of window %s',
+                window,
+            )
             self._unsent.remove(window)
             return True
         return False
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/caller_connection.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/caller_connection.py
@@ -1,7 +1,7 @@
-"""Speak HTTP with one caller over one connection.
+"""Serve HTTP/1.1 on one caller's connection.
 
-The connection tells a caller that left from one that is silent, keeps what
-the caller sends ahead, and ends an answer visibly short where it is.
+The connection distinguishes a caller that disconnected from one that is idle,
+buffers pipelined bytes, and ends an incomplete response visibly truncated.
 """
 
 from dataclasses import dataclass, field
@@ -16,13 +16,13 @@
 from spanfall_node.gateway.net.ports import Headers
 from spanfall_node.gateway.net.sockets import READ_BYTES, SOCKET_ERRORS
 
-#: Bytes that a caller may send ahead of the answer to its last request.
-AHEAD_BYTES = 65536
-#: Seconds that a closed connection waits for the caller to close too, so
-#: that the last answer is not lost to a reset.
+#: Maximum bytes that a caller may pipeline before the response is complete.
+MAX_PIPELINED_BYTES = 65536
+#: Seconds that a lingering close waits for the caller to close its side, so
+#: that a reset does not discard the last response.
 LINGER_SECONDS = 1.0
-#: Most bytes of a body that was refused are read and dropped.
-DISCARD_BYTES = 8_388_608
+#: Maximum bytes of a refused body that are read and discarded.
+MAX_DISCARDED_BYTES = 8_388_608
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,13 +34,13 @@
     headers: Headers
 
     def header(self, name: bytes) -> str:
-        """Return the first value of a header in lower case, or nothing."""
+        """Return the first value of a header given in lower case, or ''."""
         found = (text for key, text in self.headers if key == name)
         return next(found, b'').decode('latin-1')
 
     @property
     def host(self) -> str:
-        """Return the host without its port."""
+        """Return the host in lower case, without its port."""
         return self.header(b'host').partition(':')[0].lower()
 
     @property
@@ -52,22 +52,24 @@
 
 @dataclass(slots=True)
 class CallerConnection:
-    """Hold the state of one caller's connection."""
+    """Hold the protocol state of one caller's connection."""
 
     stream: ByteStream
     limits: CallerLimits
     protocol: h11.Connection = field(init=False)
-    #: Whether the answer under way tells the caller to close.
+    #: Whether the connection closes after the current response.
     closing: bool = False
+    #: Whether the caller disconnected, or the connection has to be aborted.
     gone: bool = False
-    _ahead: int = 0
+    #: Bytes that the caller pipelined during the current request.
+    _pipelined_bytes: int = 0
 
     def __post_init__(self) -> None:
-        """Start the protocol with the limit of a request's head."""
+        """Start the protocol with the configured header size limit."""
         self.protocol = h11.Connection(h11.SERVER, self.limits.header_bytes)
 
     async def read_request(self) -> CallerRequest | None:
-        """Return the next request's head, or None when the caller left.
+        """Return the next request's head, or None if the caller disconnected.
 
         Raises:
             BadRequestError: the head is malformed, too large or too slow.
@@ -79,14 +81,14 @@
             if isinstance(event, h11.Request):
                 return self._checked_head(event)
             return None
-        raise BadRequestError(408, 'the head did not come in time')
+        raise BadRequestError(408, 'request head timed out')
 
     async def read_body(self) -> bytes:
         """Return the whole body of the request.
 
         Raises:
             BadRequestError: the body is malformed, too large or too slow.
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         parts: list[bytes] = []
         size = 0
@@ -100,25 +102,27 @@
             size += len(event.data)
             if size > self.limits.body_bytes:
                 self.closing = True
-                raise BadRequestError(413, 'the body is too large')
+                raise BadRequestError(
+                    413, 'request body exceeds the size limit'
+                )
 
-    async def watch_leaving(self) -> None:
-        """Return when the caller leaves; keep what it sends ahead."""
-        while self._ahead < AHEAD_BYTES:
+    async def wait_for_disconnect(self) -> None:
+        """Return when the caller disconnects; buffer what it pipelines."""
+        while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 received = await self.stream.receive(READ_BYTES)
             except SOCKET_ERRORS:
                 self.gone = True
                 return
-            self._ahead += len(received)
+            self._pipelined_bytes += len(received)
             self.protocol.receive_data(received)
         await anyio.sleep_forever()
 
     async def send_head(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer.
+        """Send the head of a response.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         if self.closing:
             headers = [*headers, (b'connection', b'close')]
@@ -126,31 +130,31 @@
         await self._write(self.protocol.send(response))
 
     async def send_part(self, part: bytes) -> None:
-        """Send a part of the body.
+        """Send a part of the response body.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         await self._write(self.protocol.send(h11.Data(data=part)))
 
     async def send_end(self) -> None:
-        """End the answer properly.
+        """Mark the response as complete.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         await self._write(self.protocol.send(h11.EndOfMessage()))
 
-    async def answer(
+    async def send_response(
         self,
         status: int,
         headers: Headers,
         body: bytes,
     ) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         Raises:
-            CallerGoneError: the caller left.
+            CallerGoneError: the caller disconnected.
         """
         if self.closing:
             headers = [*headers, (b'connection', b'close')]
@@ -162,7 +166,7 @@
         await self._write(b''.join(pieces))
 
     def start_next(self) -> bool:
-        """Get ready for the next request; False when there can be none."""
+        """Prepare for the next request; return False if the connection ends."""
         if self.closing or self.gone:
             return False
         if self.protocol.our_state is not h11.DONE:
@@ -170,27 +174,27 @@
         if self.protocol.their_state is not h11.DONE:
             return False
         self.protocol.start_next_cycle()
-        self._ahead = 0
+        self._pipelined_bytes = 0
         return True
 
-    async def close_politely(self) -> None:
-        """Close so that what was sent arrives."""
+    async def close_gracefully(self) -> None:
+        """Close with a lingering close, so that the last response arrives."""
         with anyio.move_on_after(LINGER_SECONDS, shield=True):
             try:
                 await self._linger()
             except SOCKET_ERRORS:
                 self.gone = True
-        await self.close_at_once()
+        await self.abort()
 
-    async def close_at_once(self) -> None:
-        """Close at once, so that an unfinished answer looks unfinished."""
+    async def abort(self) -> None:
+        """Close at once, so that the caller detects an incomplete response."""
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self.stream)
 
     async def _linger(self) -> None:
         await self.stream.send_eof()
         dropped = 0
-        while dropped < DISCARD_BYTES:
+        while dropped < MAX_DISCARDED_BYTES:
             dropped += len(await self.stream.receive(READ_BYTES))
 
     async def _wait_for_bytes(self) -> bool:
@@ -227,7 +231,7 @@
                 raise CallerGoneError
             return event
         self.closing = True
-        raise BadRequestError(408, 'the body did not come in time')
+        raise BadRequestError(408, 'request body timed out')
 
     async def _receive(self) -> None:
         try:
@@ -242,7 +246,7 @@
         size = sum(len(name) + len(text) + 4 for name, text in headers)
         if size + len(event.target) > self.limits.header_bytes:
             self.closing = True
-            raise BadRequestError(431, 'the head is too large')
+            raise BadRequestError(431, 'request head exceeds the size limit')
         return CallerRequest(
             event.method.decode('ascii'),
             event.target.decode('ascii'),
@@ -250,8 +254,10 @@
         )
 
     def _continue(self) -> bytes:
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
-        return self.protocol.send(go_on)
+        interim_response = h11.InformationalResponse(
+            status_code=100, headers=[]
+        )
+        return self.protocol.send(interim_response)
 
     async def _write(self, outgoing: bytes) -> None:
         if self.gone:
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/crash_knowledge.py
@@ -105,7 +105,7 @@
             self.trials.end(run.identity, now + TRIAL_SETTLE_SECONDS)
             return
         self.trials.end(run.identity, now)
-        if run.stage is RunStage.WHOLE:
+        if run.stage is RunStage.COMPLETE:
             self.table.clear(run.identity)
 
     def learn_report(self, report: CrashReport, now: float) -> None:
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/crash_watch.py
@@ -1,8 +1,9 @@
-"""Find out at an entry whether an upstream ended under a request.
+"""Detect at an entry whether an upstream crashed while running a request.
 
-A connection that breaks may have been reset or garbled by an upstream that
-lives. One whose process has ended refuses new connections, unless something
-else holds its port or its host went too: then the platform's list tells later.
+A broken connection may have been reset or garbled by an upstream that is still
+alive. An upstream whose process has ended refuses new connections, unless
+something else holds its port or its host is down too: then the platform's list
+of upstreams shows the crash later.
 """
 
 import math
@@ -26,171 +27,178 @@
 from spanfall_node.gateway.net.pool import ConnectionPool
 from spanfall_node.gateway.tables.state import GatewayState
 
-#: Seconds for the answer of a host that ended a connection a moment ago.
-PROBE_SECONDS = 0.1
-#: Seconds in which one that only holds the port closes what it took, and in
-#: which the other connections of a process that has ended are seen to end.
-CLOSE_SECONDS = 0.03
-#: Seconds without a word of an upstream after which a caller that leaves, or
-#: whose time is over, may have waited for one that has ended.
-SILENT_SECONDS = 1.0
-#: Requests that may wait to be examined; more are not. A probe each second of
-#: each upstream is enough for all that wait there.
-MOST_WAITING = 256
+#: Timeout in seconds of a probe connection to a host that was just reachable.
+PROBE_TIMEOUT_SECONDS = 0.1
+#: Seconds within which a process that only holds the port closes an accepted
+#: connection, and within which the other connections of an ended process close.
+CLOSE_WAIT_SECONDS = 0.03
+#: Seconds without data from an upstream after which a caller that disconnects,
+#: or whose deadline passes, may have waited for a crashed upstream.
+MIN_SILENCE_SECONDS = 1.0
+#: Maximum unanswered requests queued for a probe; further ones are not probed.
+MAX_QUEUED_PROBES = 256
+#: Seconds for which the result of a probe stands for all queued requests of its
+#: upstream.
 PROBE_PERIOD = 1.0
-#: Seconds between two looks at the platform's list while there is a doubt.
-SETTLE_PERIOD = 0.2
+#: Seconds between two checks of the platform's list while a crash is suspected.
+SUSPICION_CHECK_PERIOD = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
-    """Hold a request that got no answer in its time."""
+class UnansweredRequest:
+    """Hold a request whose upstream did not respond in time."""
 
     identity: RequestIdentity
     upstream: ListedUpstream
 
 
 @dataclass(slots=True)
-class CrashWatch:
-    """Examine broken sends and tell the home of them."""
+class CrashDetector:
+    """Probe upstreams after failed sends and report crashes to the home."""
 
     state: GatewayState
     pool: ConnectionPool
     _send: Send | None = field(default=None)
-    #: What the last probe of an upstream showed, and when.
-    _probed: dict[Lifetime, tuple[float, ProbeResult]] = field(
+    #: Time and result of the last probe of each upstream.
+    _probe_results: dict[Lifetime, tuple[float, ProbeResult]] = field(
         default_factory=dict
     )
-    #: Requests that wait to be examined, and the event that tells of one.
-    _waiting: deque[Unanswered] = field(default_factory=deque)
-    _is_waiting: anyio.Event = field(default_factory=anyio.Event)
+    #: Requests whose upstream is to be probed, and the event set by a new one.
+    _queue: deque[UnansweredRequest] = field(default_factory=deque)
+    _queue_filled: anyio.Event = field(default_factory=anyio.Event)
 
     def connect(self, send: Send) -> None:
-        """Tell the home over this link from now on."""
+        """Report to the home over this link from now on."""
         self._send = send
 
     def disconnect(self) -> None:
-        """Keep what is found until there is another link."""
+        """Stop reporting until another link connects; keep recording locally."""
         self._send = None
 
-    async def examine(
+    async def check_broken_send(
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
     ) -> None:
-        """Note the end of an upstream under a request, if it has ended.
+        """Probe an upstream whose send broke, and record a crash if it ended.
 
-        The home knows it before it is asked for another upstream.
+        The home receives the report before a request for another upstream.
         """
-        sign = await self._look(upstream)
-        if sign is ProbeResult.ALIVE:
-            await self.note_run(identity, RunStage.OVER)
+        probe_result = await self._probe_after_break(upstream)
+        if probe_result is ProbeResult.ALIVE:
+            await self.report_run(identity, RunStage.INCOMPLETE)
             return
-        await self._note(identity, upstream, sign)
+        await self._record(identity, upstream, probe_result)
 
-    def note_unanswered(
+    def queue_unanswered(
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
-        heard_at: float,
+        last_received_at: float,
     ) -> None:
-        """Have an upstream examined that a caller waited for in vain."""
-        if self.state.timers.now() - heard_at < SILENT_SECONDS:
+        """Queue a probe of an upstream that did not respond to a request."""
+        if self.state.timers.now() - last_received_at < MIN_SILENCE_SECONDS:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._queue) >= MAX_QUEUED_PROBES:
             self.state.counters.unexamined.inc()
             return
-        self._waiting.append(Unanswered(identity, upstream))
-        self._is_waiting.set()
+        self._queue.append(UnansweredRequest(identity, upstream))
+        self._queue_filled.set()
 
-    async def examine_unanswered(self) -> None:
-        """Examine upstreams that callers waited for, until cancelled."""
+    async def probe_unanswered(self) -> None:
+        """Probe the upstreams of queued requests, until cancelled."""
         while True:
-            await self._is_waiting.wait()
-            while self._waiting:
-                waited = self._waiting.popleft()
-                sign = await self._probe_rarely(waited.upstream)
-                if sign in {ProbeResult.ENDED, ProbeResult.NO_ANSWER}:
-                    await self._note(waited.identity, waited.upstream, sign)
-            self._is_waiting = anyio.Event()
-
-    async def settle_doubts(self) -> None:
-        """Learn which doubted upstreams have ended, until cancelled."""
+            await self._queue_filled.wait()
+            while self._queue:
+                unanswered = self._queue.popleft()
+                probe_result = await self._probe_rate_limited(
+                    unanswered.upstream
+                )
+                if probe_result in {ProbeResult.ENDED, ProbeResult.NO_ANSWER}:
+                    await self._record(
+                        unanswered.identity, unanswered.upstream, probe_result
+                    )
+            self._queue_filled = anyio.Event()
+
+    async def resolve_suspected_crashes(self) -> None:
+        """Check which suspected upstreams have ended, until cancelled."""
         state = self.state
         while True:
             await state.crashes.doubted.wait()
-            await anyio.sleep(SETTLE_PERIOD)
+            await anyio.sleep(SUSPICION_CHECK_PERIOD)
             now = state.timers.now()
             heartbeat = state.cfg.upstream_heartbeat_seconds
             state.crashes.settle(state.directory, heartbeat, now)
 
-    async def note_run(
+    async def report_run(
         self,
         identity: RequestIdentity,
         stage: RunStage,
     ) -> None:
-        """Tell the home how far a request has come that is watched."""
+        """Report to the home which stage a watched run has reached."""
         run = WatchedRun(identity, stage)
         self.state.crashes.note_run(run, self.state.timers.now())
         if self._send is not None:
             await self._send(run)
 
-    async def _note(
+    async def _record(
         self,
         identity: RequestIdentity,
         upstream: ListedUpstream,
-        sign: ProbeResult,
+        probe_result: ProbeResult,
     ) -> None:
-        """Note what a sign tells, here and at the home."""
+        """Record what a probe showed, and report it to the home."""
         crashes = self.state.crashes
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        if sign is ProbeResult.ENDED:
+        if probe_result is ProbeResult.ENDED:
             crashes.note_end(identity, lifetime, now)
             report = CrashReport({identity: (lifetime,)})
         else:
-            is_strong = sign is ProbeResult.NO_ANSWER
+            is_strong = probe_result is ProbeResult.NO_ANSWER
             crashes.note_doubt(identity, lifetime, now, is_strong=is_strong)
             report = CrashReport(doubts={identity: {lifetime: is_strong}})
         if self._send is not None:
             await self._send(report)
 
-    async def _look(self, upstream: ListedUpstream) -> ProbeResult:
-        """Return what an upstream shows just after a send to it broke."""
+    async def _probe_after_break(self, upstream: ListedUpstream) -> ProbeResult:
+        """Probe an upstream just after a send to it broke."""
         before = self.pool.open_connections(upstream.lifetime)
-        sign = await _probe(upstream.address)
-        if sign is not ProbeResult.ACCEPTS_CONNECTIONS:
-            return sign
+        probe_result = await _probe(upstream.address)
+        if probe_result is not ProbeResult.ACCEPTS_CONNECTIONS:
+            return probe_result
         after = self.pool.open_connections(upstream.lifetime)
-        return ProbeResult.ALIVE if before & after else sign
+        return ProbeResult.ALIVE if before & after else probe_result
 
-    async def _probe_rarely(self, upstream: ListedUpstream) -> ProbeResult:
+    async def _probe_rate_limited(
+        self, upstream: ListedUpstream
+    ) -> ProbeResult:
         now = self.state.timers.now()
         lifetime = upstream.lifetime
-        probed_at, sign = self._probed.get(
+        probed_at, probe_result = self._probe_results.get(
             lifetime, (-math.inf, ProbeResult.ALIVE)
         )
         if now - probed_at < PROBE_PERIOD:
-            return sign
-        sign = await _probe(upstream.address)
-        self._probed = {
+            return probe_result
+        probe_result = await _probe(upstream.address)
+        self._probe_results = {
             key: row
-            for key, row in self._probed.items()
+            for key, row in self._probe_results.items()
             if now - row[0] < PROBE_PERIOD
         }
-        self._probed[lifetime] = (now, sign)
-        return sign
+        self._probe_results[lifetime] = (now, probe_result)
+        return probe_result
 
 
 async def _probe(address: str) -> ProbeResult:
     try:
-        conn = await connect(address, PROBE_SECONDS)
+        conn = await connect(address, PROBE_TIMEOUT_SECONDS)
     except NobodyListensError:
         return ProbeResult.ENDED
     except NotSentError:
         return ProbeResult.NO_ANSWER
     try:
-        is_closed = await conn.ends_within(CLOSE_SECONDS)
+        is_closed = await conn.ends_within(CLOSE_WAIT_SECONDS)
     finally:
         await conn.close()
     return (
--- a/tests/arrivals.py
+++ b/tests/arrivals.py
@@ -1,6 +1,6 @@
-"""Note what reaches an upstream, and from which entry.
+"""Record which requests reach an upstream, and from which entry.
 
-Callers name the entry that they ask in the attempt: ``entry/number``.
+Test callers put the entry's name into the attempt id: ``entry/number``.
 """
 
 from dataclasses import dataclass
@@ -10,29 +10,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """State when a request reached the upstream, and from which entry."""
+    """Hold when a request reached an upstream, and from which entry."""
 
     at: float
     entry: str
 
 
-def note_arrivals(upstream):
-    """Note each request that reaches an upstream from now on."""
+def record_arrivals(upstream):
+    """Record each request that reaches an upstream from now on."""
     arrivals = []
     answer = upstream.behaviour
 
-    async def noting(one, seen, stream):
+    async def recording(one, seen, stream):
         entry = seen.headers['attempt'].partition('/')[0]
         arrivals.append(Arrival(anyio.current_time(), entry))
         return await answer(one, seen, stream)
 
-    upstream.behaviour = noting
+    upstream.behaviour = recording
     return arrivals
 
 
-def arrived_after(arrivals, told, seconds):
-    """Return what came from an entry later than so long after it was told."""
+def arrived_after(arrivals, informed_at, seconds):
+    """Return arrivals more than ``seconds`` after their entry was informed."""
     never = float('inf')
     return [
-        one for one in arrivals if one.at > told.get(one.entry, never) + seconds
+        one
+        for one in arrivals
+        if one.at > informed_at.get(one.entry, never) + seconds
     ]
--- a/tests/quota_store.py
+++ b/tests/quota_store.py
@@ -1,11 +1,11 @@
-"""Hold the record of spending in the model of limits, and what is sent there."""
+"""Model the store that holds the spending record in the simulation."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """Hold a record that is under way to the store."""
+class PendingRecord:
+    """Hold a record that was sent but has not reached the store."""
 
     step: int
     epoch: int
@@ -14,27 +14,26 @@
 
 @dataclass(slots=True)
 class RecordStore:
-    """Hold what the store keeps; it takes one record at a time."""
+    """Model the store; it accepts one record at a time."""
 
-    #: Steps until the store holds a record: some when hosts and the store are
-    #: busy.
+    #: Steps until a record is stored; above 0 if hosts and the store are busy.
     steps: int = 0
     record: dict = field(default_factory=dict)
-    _under_way: Sent | None = None
+    _pending: PendingRecord | None = None
 
     @property
     def is_busy(self):
-        """Tell whether a record is under way."""
-        return self._under_way is not None
+        """Tell whether a record is in transit."""
+        return self._pending is not None
 
     def send(self, sent):
         """Send a record."""
-        self._under_way = sent
+        self._pending = sent
 
-    def take(self, step):
-        """Return the record that arrives, if one does."""
-        sent = self._under_way
+    def take_arrived(self, step):
+        """Return the record that arrives at this step, if any."""
+        sent = self._pending
         if sent is None or step < sent.step + self.steps:
             return None
-        self._under_way = None
+        self._pending = None
         return sent
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -1,4 +1,4 @@
-"""Keys of workspaces are checked, and what they use is reported."""
+"""Workspace keys are checked, and their usage is reported."""
 
 from gateway_world import ask, in_world
 from spanfall_standins.gateway.dialect import (
@@ -9,8 +9,8 @@
 
 
 @in_world
-async def test_keys_are_refused_when_the_store_is_away(world):
-    """A revoked key must not work longer than the bound."""
+async def test_keys_are_refused_while_store_unreachable(world):
+    """A revoked key must not work for longer than the revocation bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(complete_response())
     state = await world.add_gateway(revoke_seconds=0.5)
@@ -26,8 +26,8 @@
 
 
 @in_world
-async def test_keys_work_on_where_nothing_demands_else(world):
-    """The store is away for longer than the bound; callers are served."""
+async def test_keys_work_where_revocation_is_unbounded(world):
+    """Callers are served while the store is unreachable beyond the bound."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     await world.add_upstream(complete_response())
     state = await world.add_gateway(
@@ -44,7 +44,7 @@
 
 
 @in_world
-async def test_keys_are_checked_and_not_passed_on(world):
+async def test_keys_are_checked_and_not_forwarded(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
     upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
--- a/tests/test_gateway_said_leaving.py
+++ b/tests/test_gateway_said_leaving.py
@@ -1,13 +1,9 @@
-"""Let an upstream say in its answers that it leaves, and nowhere else.
-
-Seen: requests reached an upstream 2.1 to 7.2 s after an entry had passed on an
-answer in which it said that it leaves, bound 2 s; from all nine entries.
-How: the store was away for 13 s, so neither could the upstream write that it
-leaves nor could any node have read it.
-Cause: that an upstream leaves had one source, its entry in the store; its own
-word in each answer was passed on and decided nothing.
-Proof: it got requests in each second until its entry came, also from entries
-that had its word; here the same with the store away and with the store well.
+"""An upstream that states only in its responses that it leaves is drained.
+
+Guards against relying on the upstream's store entry alone. With the store
+unreachable for 13 s the upstream could not write that it leaves, and all nine
+entries still sent it requests 2.1 to 7.2 s after relaying its statement, where
+the bound is 2 s. Tested with the store reachable and unreachable.
 """
 
 from dataclasses import replace
@@ -15,7 +11,7 @@
 import anyio
 import msgspec
 import pytest
-from arrivals import arrived_after, note_arrivals
+from arrivals import arrived_after, record_arrivals
 from gateway_world import SERVICE, ask, in_world
 from spanfall_core.gateway.known.directory import Directory
 from spanfall_core.gateway.known.listed import ListedUpstream
@@ -25,27 +21,27 @@
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
 
-#: Seconds after an entry passed on the word in which requests may still come.
-DRAIN = 2.0
+#: Seconds after an entry relayed the statement in which it may still send.
+DRAIN_SECONDS = 2.0
 PAUSE = 0.05
 ENTRIES = 3
 LEAVING = {'leaves': '1'}
-BROKEN_OFF = (
+TRUNCATED = (
     b'HTTP/1.1 200 OK\r\nattempt: {id}\r\nsigned: s\r\nleaves: 1\r\n'
     b'content-length: 40\r\n\r\nhalf'
 )
-OTHERS_ANSWER = (
+MISMATCHED = (
     b'HTTP/1.1 200 OK\r\nattempt: other\r\nsigned: s\r\nleaves: 1\r\n'
     b'content-length: 4\r\n\r\ndone'
 )
 
 
-class Leaver:
-    """Hold what callers and the upstream that leaves saw."""
+class LeavingUpstream:
+    """Record what callers and the leaving upstream receive."""
 
     def __init__(self, upstream):
-        self.arrivals = note_arrivals(upstream)
-        self.passed_on = {}
+        self.arrivals = record_arrivals(upstream)
+        self.first_relayed_at = {}
         self.statuses = []
 
     async def call(self, gateways, seconds):
@@ -59,17 +55,19 @@
             answer = await ask(state, '/any/1', attempt=f'{entry}/{number}')
             self.statuses.append(answer.status)
             if 'leaves' in answer.headers:
-                self.passed_on.setdefault(entry, anyio.current_time())
+                self.first_relayed_at.setdefault(entry, anyio.current_time())
             await anyio.sleep(PAUSE)
 
-    def late(self):
-        """Return what arrived later than allowed after an entry was told."""
-        return arrived_after(self.arrivals, self.passed_on, DRAIN)
+    def late_arrivals(self):
+        """Return arrivals from entries after their drain time was over."""
+        return arrived_after(
+            self.arrivals, self.first_relayed_at, DRAIN_SECONDS
+        )
 
 
 @pytest.mark.parametrize('failing', (0, 503))
-def test_one_that_says_so_gets_nothing_more(failing):
-    """Its entry says that it is ready, or cannot be read at all."""
+def test_a_leaving_upstream_gets_no_more_requests(failing):
+    """Its store entry still states ready, or cannot be read at all."""
 
     @in_world
     async def play(world):
@@ -77,13 +75,13 @@
             await world.add_upstream(complete_response()) for _ in range(2)
         ]
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
-        leaver = Leaver(upstreams[0])
+        leaving = LeavingUpstream(upstreams[0])
         world.store.error_status = failing
         upstreams[0].statement_headers = LEAVING
-        await leaver.call(gateways, 2 * DRAIN)
-        assert leaver.passed_on
-        assert not leaver.late()
-        assert set(leaver.statuses) == {200}
+        await leaving.call(gateways, 2 * DRAIN_SECONDS)
+        assert leaving.first_relayed_at
+        assert not leaving.late_arrivals()
+        assert set(leaving.statuses) == {200}
 
     play()
 
@@ -93,8 +91,8 @@
 
 
 @in_world
-async def test_all_nodes_know_what_one_heard(world):
-    """A new home too, and those who start later; its entry says ready."""
+async def test_a_leaving_statement_reaches_all_nodes(world):
+    """Also a new home and nodes that start later; its entry states ready."""
     upstreams = [
         await world.add_upstream(complete_response()) for _ in range(2)
     ]
@@ -103,7 +101,7 @@
         await wait_until(lambda: is_home(home))
         others = [await world.add_gateway() for _ in range(2)]
         upstreams[0].statement_headers = LEAVING
-        await hear_once(others[0], upstreams[0])
+        await call_until_received(others[0], upstreams[0])
         await wait_until(
             lambda: all(serving(one) == left for one in (home, *others)),
         )
@@ -120,7 +118,7 @@
     assert len(upstreams[0].received_requests) == before
 
 
-async def hear_once(state, upstream):
+async def call_until_received(state, upstream):
     """Send requests to an entry until one has reached an upstream."""
     before = len(upstream.received_requests)
     number = 0
@@ -130,7 +128,7 @@
 
 
 @in_world
-async def test_the_last_one_that_leaves_gets_nothing(world):
+async def test_a_sole_upstream_that_leaves_gets_nothing(world):
     upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
     upstream.statement_headers = LEAVING
@@ -141,8 +139,8 @@
 
 
 @in_world
-async def test_another_lifetime_there_is_served(world):
-    """What one lifetime said does not hold for the next at its address."""
+async def test_a_new_lifetime_at_the_address_is_served(world):
+    """A lifetime's statement does not apply to the next at its address."""
     upstream = await world.add_upstream(complete_response())
     state = await world.add_gateway()
     upstream.statement_headers = LEAVING
@@ -160,10 +158,10 @@
 
 @pytest.mark.parametrize(
     'behaviour',
-    (complete_response(500), refused(), raw(BROKEN_OFF), raw(OTHERS_ANSWER)),
+    (complete_response(500), refused(), raw(TRUNCATED), raw(MISMATCHED)),
 )
-def test_the_word_counts_however_the_answer_ends(behaviour):
-    """A failure, a refusal, one that breaks off, one to another request."""
+def test_leaving_counts_however_the_answer_ends(behaviour):
+    """A failure, a refusal, a truncated and a mismatched answer."""
 
     @in_world
     async def play(world):
@@ -179,8 +177,8 @@
 LISTED = ListedUpstream('u-1', SERVICE, '', 'north', slots=4)
 
 
-def test_no_listing_takes_the_word_back():
-    """Neither a newer one that says ready, nor one of another node."""
+def test_no_listing_revokes_a_leaving_statement():
+    """Neither a newer listing as ready nor another node's listing does."""
     said = set()
     directory = Directory(said)
     directory.apply(1, [LISTED], 0, float('-inf'))
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -1,7 +1,8 @@
-"""A home that is cut off is followed before its lease has ended.
+"""Test that a home cut off from the store hands over before its lease expires.
 
-The record of a home lasts for seconds after its last renewal. Meanwhile
-nobody may give units of limits, and entries hold a two hundredth of them.
+The record of a home stays valid for seconds after its last renewal. Until then
+no other node may allocate units of limits, and the entries hold only a two
+hundredth of them.
 """
 
 import select
@@ -10,8 +11,12 @@
 
 import anyio
 from gateway_world import in_world
-from spanfall_node.gateway.home.leadership import CUT_SECONDS, Leadership
-from spanfall_node.gateway.home.succession import ASK_PERIOD, ASKED, Succession
+from spanfall_node.gateway.home.leadership import CUT_OFF_SECONDS, Leadership
+from spanfall_node.gateway.home.succession import (
+    ROUND_PERIOD,
+    ROUND_SIZE,
+    Succession,
+)
 from spanfall_node.gateway.links.messages import decode_from_home
 from spanfall_node.gateway.links.succession_messages import ResignMessage
 from spanfall_node.gateway.program import start_gateway
@@ -21,28 +26,28 @@
 from spanfall_standins.gateway.server import encode_response, start_server
 from support import wait_until
 
-#: A lease that outlasts any test.
+#: Seconds of a lease that outlasts any test.
 LONG_LEASE_SECONDS = 120
 
 
-class Gate:
-    """Let calls through to the store, or turn them away."""
+class StoreGate:
+    """Forward calls to the store, or answer them with 503."""
 
     def __init__(self, store):
-        self.is_shut = False
+        self.is_closed = False
         self._store = store
 
     async def answer(self, seen, stream):
-        if self.is_shut:
+        if self.is_closed:
             await stream.send(encode_response(503, b''))
             return True
         return await self._store.answer(seen, stream)
 
 
-async def add_gated(world, gate, **settings):
-    """Start a gateway whose way to the store can be shut."""
+async def add_gated_gateway(world, store_gate, **settings):
+    """Start a gateway whose connection to the store can be closed."""
     usual = world.store_address
-    world.store_address = await start_server(world.tasks, gate.answer)
+    world.store_address = await start_server(world.tasks, store_gate.answer)
     state = await world.add_gateway(**settings)
     world.store_address = usual
     return state
@@ -50,7 +55,7 @@
 
 @asynccontextmanager
 async def ending_gateway(world, **bounds):
-    """Start a gateway whose process can be ended without a word."""
+    """Start a gateway that can be stopped abruptly, as by a crash."""
     usual = world.tasks
     async with anyio.create_task_group() as tasks:
         world.tasks = tasks
@@ -66,14 +71,14 @@
 @in_world
 async def test_a_home_without_the_store_hands_over(world):
     world.store.min_lease_ms = LONG_LEASE_SECONDS * 1000
-    gate = Gate(world.store)
+    store_gate = StoreGate(world.store)
     settings = {'least_lease_seconds': LONG_LEASE_SECONDS}
-    home = await add_gated(world, gate, **settings)
+    home = await add_gated_gateway(world, store_gate, **settings)
     await wait_until(lambda: is_home(home))
     other = await world.add_gateway(**settings)
     await wait_until(lambda: other.home_heard_at > 0)
     lease = home.tenure.lease
-    gate.is_shut = True
+    store_gate.is_closed = True
     await wait_until(lambda: is_home(other))
     assert lease in world.store.leases
     await wait_until(lambda: home.tenure is None)
@@ -81,16 +86,16 @@
 
 
 @in_world
-async def test_entries_without_the_store_follow(world):
-    """They hear from the home before which node is the next."""
-    gate = Gate(world.store)
-    home = await add_gated(world, gate)
+async def test_entries_cut_off_from_the_store_follow(world):
+    """Entries cut off from the store learn the new home from the old one."""
+    store_gate = StoreGate(world.store)
+    home = await add_gated_gateway(world, store_gate)
     await wait_until(lambda: is_home(home))
-    entry = await add_gated(world, gate)
+    entry = await add_gated_gateway(world, store_gate)
     other = await world.add_gateway()
     await wait_until(lambda: other.home_heard_at > 0)
     await wait_until(lambda: entry.home_heard_at > 0)
-    gate.is_shut = True
+    store_gate.is_closed = True
     await wait_until(lambda: is_home(other))
     epoch = other.tenure.epoch
     await wait_until(lambda: entry.home and entry.home.epoch == epoch)
@@ -99,8 +104,8 @@
 
 
 @in_world
-async def test_nobody_takes_over_without_the_store(world):
-    """While it is away for all, the home stays what it is."""
+async def test_a_store_outage_does_not_end_the_tenure(world):
+    """If no node reaches the store, the home does not resign."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     other = await world.add_gateway()
@@ -116,11 +121,12 @@
 
 
 @in_world
-async def test_a_restarted_fleet_has_its_limits_at_once(world):
-    """All processes ended; the record of the home is still there.
+async def test_a_restarted_fleet_allocates_at_once(world):
+    """Guard against refusals after all processes were restarted.
 
-    Another node that took it found nothing listening at its address, and gave
-    no units for two seconds: a hundred requests were refused.
+    The record of the old home is still in the store. A node that followed it
+    found nothing listening at its address, and no units were allocated for two
+    seconds: a hundred requests were refused.
     """
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
     cfg = None
@@ -139,7 +145,7 @@
 
 @in_world
 async def test_a_record_that_cannot_be_read_is_replaced(world):
-    """Units are given once its holder, if there is one, acts no more."""
+    """Units are allocated only once a possible holder has stopped acting."""
     world.store.put(home_key(0), 'no record')
     state = await world.add_unready_gateway()
     await wait_until(lambda: is_home(state))
@@ -149,7 +155,7 @@
 
 
 class SlowStore:
-    """Answer a renewal after the home has handed over."""
+    """Answer a renewal only after the home has handed over."""
 
     def __init__(self, home):
         self._home = home
@@ -160,8 +166,8 @@
         assert Succession(self._home).hand_over(tenure.epoch) is not None
 
 
-class Entry:
-    """Keep what a home sends to one entry."""
+class RecordingLink:
+    """Record the messages that a home sends to one entry."""
 
     def __init__(self):
         self.got = []
@@ -171,57 +177,62 @@
 
 
 @in_world
-async def test_the_strongest_hosts_are_asked_first(world):
-    """A home on a small host was late for seconds at 195 entries."""
+async def test_the_strongest_hosts_are_contacted_first(world):
+    """Guard against a home on a small host, which lags with many entries.
+
+    With 195 entries it was late for seconds.
+    """
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     home.tenure.is_cut = True
-    entries = [Entry() for _ in range(3 * ASKED)]
+    entries = [RecordingLink() for _ in range(3 * ROUND_SIZE)]
     succession = Succession(home)
     for cores, entry in enumerate(entries):
         succession.add(entry)
-        succession.note(entry, cores)
-    await succession._tell(home.tenure)
-    asked = [at for at, row in enumerate(entries) if row.got]
-    assert asked == list(range(2 * ASKED, 3 * ASKED))
+        succession.set_strength(entry, cores)
+    await succession._notify(home.tenure)
+    contacted = [at for at, row in enumerate(entries) if row.got]
+    assert contacted == list(range(2 * ROUND_SIZE, 3 * ROUND_SIZE))
 
 
 @in_world
-async def test_others_are_told_if_the_first_do_not_act(world):
-    """The first to be told may be cut off itself, or lose its answers."""
+async def test_more_entries_are_notified_in_rounds(world):
+    """The first entries may be cut off themselves, or lose their answers."""
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     home.tenure.is_cut = True
     epoch = home.tenure.epoch
-    entries = [Entry() for _ in range(2 * ASKED)]
+    entries = [RecordingLink() for _ in range(2 * ROUND_SIZE)]
     succession = Succession(home)
     for entry in entries:
         succession.add(entry)
     assert succession.hand_over(epoch) == ResignMessage(epoch)
     assert succession.hand_over(epoch) is None
     for _ in range(3):
-        await anyio.sleep(ASK_PERIOD)
-        await succession._tell(home.tenure)
-    told = ResignMessage(epoch)
-    assert all(entry.got and entry.got[0] == told for entry in entries)
+        await anyio.sleep(ROUND_PERIOD)
+        await succession._notify(home.tenure)
+    expected_message = ResignMessage(epoch)
+    assert all(
+        entry.got and entry.got[0] == expected_message for entry in entries
+    )
 
 
 @in_world
-async def test_one_lost_renewal_hands_nothing_over(world):
-    gate = Gate(world.store)
-    home = await add_gated(world, gate)
+async def test_one_lost_renewal_keeps_the_home(world):
+    store_gate = StoreGate(world.store)
+    home = await add_gated_gateway(world, store_gate)
     await wait_until(lambda: is_home(home))
     renewed_at = home.tenure.renewed_at
-    gate.is_shut = True
-    await anyio.sleep(CUT_SECONDS / 2)
-    gate.is_shut = False
+    store_gate.is_closed = True
+    await anyio.sleep(CUT_OFF_SECONDS / 2)
+    store_gate.is_closed = False
     await wait_until(lambda: home.tenure.renewed_at > renewed_at)
     assert not home.tenure.is_cut
 
 
 @in_world
-async def test_hundreds_may_link_at_one_moment(world):
-    """The home is busy while the entries of a large fleet find it."""
+async def test_hundreds_of_links_may_open_at_once(world):
+    """The home is busy while all entries of a large fleet connect to it."""
     home = await world.add_gateway()
     host, _, port = home.cfg.listen.links.rpartition(':')
     links = []
@@ -230,7 +241,7 @@
         link.setblocking(False)  # noqa: FBT003
         link.connect_ex((host, int(port)))
         links.append(link)
-    # Nothing was accepted yet: this task has not let the home run.
+    # No link was accepted yet, since this task has not yielded to the home.
     _, connected, _ = select.select([], links, [], 0.5)
     for link in links:
         link.close()
@@ -238,8 +249,12 @@
 
 
 @in_world
-async def test_a_renewal_under_way_brings_nothing_back(world):
-    """The home handed over while it waited: two would give units."""
+async def test_a_pending_renewal_keeps_a_handover(world):
+    """Guard against two allocating homes.
+
+    The home hands over while its renewal is pending; the renewal's answer must
+    not extend its tenure.
+    """
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     tenure = home.tenure
@@ -248,8 +263,11 @@
 
 
 @in_world
-async def test_the_end_of_a_link_is_no_failure(world):
-    """An entry that took it for one went on with a home that was no more."""
+async def test_an_entry_drops_a_home_that_closed(world):
+    """Guard against an entry that follows a home that has stepped down.
+
+    The home closes the link normally, which is not an error of the link.
+    """
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
     entry = await world.add_gateway()
