--- a/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/lifecycle.py
@@ -48,7 +48,7 @@
         except (BadRequestError, CallerGoneError) as exc:
             logger.info('Status connection failed: %r', exc)
         finally:
-            await caller.close_at_once()
+            await caller.abort()
 
     async def _serve_requests(self, caller: CallerConnection) -> None:
         while True:
@@ -73,7 +73,7 @@
         elif req.path == '/metrics':
             status, body = 200, generate_latest(state.counters.registry)
         headers = [*_TEXT, (b'content-length', b'%d' % len(body))]
-        await caller.answer(status, headers, body)
+        await caller.send_response(status, headers, body)
 
 
 async def stop_on_signal(
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/choosing.py
@@ -1,4 +1,4 @@
-"""Choose an upstream for a request, now or after a wait that pays."""
+"""Choose an upstream for a request, now or after a bounded wait."""
 
 import anyio
 from spanfall_core.gateway.crashes.crashes import Standing
@@ -7,44 +7,49 @@
 
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.attempt import Exchange
-from spanfall_node.gateway.upstreams.grants import Grants, Outcome
+from spanfall_node.gateway.upstreams.grants import ChoiceOutcome, GrantClient
 
-#: Seconds that a suspect waits for its trial while another one is tried: as
-#: long as a trial whose upstream says nothing. Then it may come back.
+#: Seconds that a suspect request waits while the trial of another one runs: as
+#: long as a trial whose upstream sends nothing. Then the caller may retry.
 TRIAL_WAIT_SECONDS = 1.5
-TRIAL_STEP = 0.05
-#: Part of a route's target that a request waits for its turn at an upstream
-#: with a limit: a refusal later than that helps its caller no more.
-TURN_WAIT_PART = 0.25
-#: Seconds to a turn at the least: where many upstreams are limited one comes
-#: each moment, and each look for it is a question to the home.
-TURN_STEP = 0.02
+#: Seconds between two attempts to begin the trial of a suspect request.
+TRIAL_POLL_SECONDS = 0.05
+#: Fraction of a route's latency target that a request waits for a permit of a
+#: rate-limited upstream: a later refusal would no longer help the caller.
+PERMIT_WAIT_FRACTION = 0.25
+#: Minimum seconds of a wait for a permit. With many rate-limited upstreams a
+#: permit is due at almost any moment, and each attempt is a request to the home.
+MIN_PERMIT_WAIT_SECONDS = 0.02
 
 
 async def choose_or_wait(
     state: GatewayState,
-    grants: Grants,
+    grants: GrantClient,
     exchange: Exchange,
-) -> Outcome:
+) -> ChoiceOutcome:
     """Choose an upstream; wait where that serves the caller better.
 
-    A suspect waits a while for its trial, and a request that an upstream's own
-    limit or back-off keeps back waits where its turn comes within a part of its
-    target.
+    A suspect request waits for its trial. A request that only an upstream's
+    rate limit or back-off delays waits if that ends within a fraction of the
+    route's latency target.
     """
-    work = exchange.work
+    admitted = exchange.admitted
     began_at = state.timers.now()
-    turn_until = work.began_at + work.route.target * TURN_WAIT_PART
+    permit_wait_until = (
+        admitted.began_at + admitted.route.target * PERMIT_WAIT_FRACTION
+    )
     while True:
-        ask = _ask(state, exchange)
-        choice = await grants.choose(work.service, ask)
-        choice = _after_backoff(state, work.service, ask, choice)
+        routing_request = _routing_request(state, exchange)
+        choice = await grants.choose(admitted.service, routing_request)
+        choice = _retry_after_backoff(
+            state, admitted.service, routing_request, choice
+        )
         now = state.timers.now()
         if choice is Standing.SUSPECT:
-            seconds, until = TRIAL_STEP, began_at + TRIAL_WAIT_SECONDS
+            seconds, until = TRIAL_POLL_SECONDS, began_at + TRIAL_WAIT_SECONDS
         elif isinstance(choice, RetryAfter):
-            choice = RetryAfter(max(TURN_STEP, choice.seconds))
-            seconds, until = choice.seconds, turn_until
+            choice = RetryAfter(max(MIN_PERMIT_WAIT_SECONDS, choice.seconds))
+            seconds, until = choice.seconds, permit_wait_until
         else:
             return choice
         if now + seconds > until:
@@ -52,30 +57,34 @@
         await anyio.sleep(seconds)
 
 
-def _ask(state: GatewayState, exchange: Exchange) -> RoutingRequest:
-    work = exchange.work
+def _routing_request(state: GatewayState, exchange: Exchange) -> RoutingRequest:
+    admitted = exchange.admitted
     return RoutingRequest(
-        work.attempt_id,
+        admitted.attempt_id,
         state.cfg.data_centre,
-        work.parts,
-        work.prompt_tokens,
+        admitted.parts,
+        admitted.prompt_tokens,
         frozenset(exchange.tried),
-        work.identity,
+        admitted.identity,
         state.words.backoffs.newest(state.timers.now()),
     )
 
 
-def _after_backoff(
+def _retry_after_backoff(
     state: GatewayState,
     service: str,
-    ask: RoutingRequest,
-    choice: Outcome,
-) -> Outcome:
-    """Say when to come back where only a back-off keeps a request from serving."""
+    routing_request: RoutingRequest,
+    choice: ChoiceOutcome,
+) -> ChoiceOutcome:
+    """Return when to retry if only back-offs prevent a choice."""
     if choice is not None and not isinstance(choice, RetryAfter):
         return choice
     rows = state.directory.serving(service)
-    untried = (row.lifetime for row in rows if row.lifetime not in ask.tried)
+    untried = (
+        row.lifetime
+        for row in rows
+        if row.lifetime not in routing_request.tried
+    )
     backoff = state.words.backoffs.seconds_until_first_end(
         untried, state.timers.now()
     )
@@ -86,8 +95,10 @@
     )
 
 
-def wait_for_any(state: GatewayState, service: str) -> float | None:
-    """Return the seconds until the first back-off ends, if all are avoided."""
+def seconds_until_backoff_ends(
+    state: GatewayState, service: str
+) -> float | None:
+    """Return the seconds to the first back-off's end, if all are in one."""
     now = state.timers.now()
     lifetimes = [row.lifetime for row in state.directory.serving(service)]
     if state.words.backoffs.active(now) >= set(lifetimes):
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/hearing.py
@@ -1,4 +1,4 @@
-"""Take what an upstream says of itself in any answer, however that ends."""
+"""Record an upstream's statements about itself from any response head."""
 
 import logging
 
@@ -13,48 +13,49 @@
 
 logger = logging.getLogger(__name__)
 
-#: The status with which another lifetime answers at the address: what it says
-#: of itself is not said of the one that was asked.
-OTHER_LIFETIME = 421
+#: Status with which another lifetime responds at the address; its statements do
+#: not apply to the lifetime that the request was sent to.
+OTHER_LIFETIME_STATUS = 421
 
 
-def hear(
+def record_statement(
     state: GatewayState,
     lifetime: Lifetime,
     head: ResponseHead,
     sent_at: float,
 ) -> None:
-    """Take what the head of an answer says; log and count what is new.
+    """Record the statement in a response head; log and count changes.
 
-    ``sent_at`` is when the request was sent over that connection.
+    The statement counts however the response ends. ``sent_at`` is when the
+    request was sent over that connection.
     """
-    if head.status == OTHER_LIFETIME:
+    if head.status == OTHER_LIFETIME_STATUS:
         return
-    said = state.platform.read_statement(head.status, head.headers)
-    news = state.words.record(
+    statement = state.platform.read_statement(head.status, head.headers)
+    changes = state.words.record(
         lifetime,
-        said,
+        statement,
         sent_at,
         state.timers.now(),
         is_signed=bool(head.header(state.platform.names.signature)),
     )
-    if StatementChange.LEAVES in news:
+    if StatementChange.LEAVES in changes:
         state.directory.apply_statements((lifetime,))
-    if said.backoff:
-        news.append(StatementChange.BACK_OFF)
-    for one in news:
+    if statement.backoff:
+        changes.append(StatementChange.BACK_OFF)
+    for one in changes:
         state.counters.statements.labels(one.value).inc()
-    if news:
+    if changes:
         logger.info(
-            'Upstream %s says: %s; %s requests a second, back-off %s s',
+            'Upstream %s stated: %s; limit %s requests/s, back-off %s s',
             lifetime,
-            ', '.join(news),
-            said.rate,
-            said.backoff,
+            ', '.join(changes),
+            statement.rate,
+            statement.backoff,
         )
 
 
-def learn_words(state: GatewayState, words: KnownStatements) -> None:
-    """Take what another node knows of upstreams."""
-    news = state.words.merge(words, state.timers.now())
-    state.directory.apply_statements(news)
+def merge_statements(state: GatewayState, statements: KnownStatements) -> None:
+    """Merge the upstream statements that another node has recorded."""
+    changes = state.words.merge(statements, state.timers.now())
+    state.directory.apply_statements(changes)
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/upstream.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Stand in for an upstream that answers as a test tells it to."""
+"""Simulate an upstream with configurable responses."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -6,10 +6,12 @@
 import anyio
 from anyio.abc import SocketStream
 
-from spanfall_standins.gateway.server import Seen, answer_bytes
+from spanfall_standins.gateway.server import ReceivedRequest, encode_response
 
-#: Answer one request; False closes the connection.
-Behaviour = Callable[['StandInUpstream', Seen, SocketStream], Awaitable[bool]]
+#: Answers one request; returns False to close the connection.
+Behaviour = Callable[
+    ['StandInUpstream', ReceivedRequest, SocketStream], Awaitable[bool]
+]
 
 EVENT_STREAM = {
     'content-type': 'text/event-stream',
@@ -19,57 +21,67 @@
 
 @dataclass(slots=True)
 class StandInUpstream:
-    """Hold what an upstream has seen and how it answers next."""
+    """Record the requests to an upstream and answer with a behaviour."""
 
     lifetime: str
     behaviour: Behaviour
-    seen: list[Seen] = field(default_factory=list)
-    #: Requests whose client closed before the answer was whole.
-    left: list[Seen] = field(default_factory=list)
-    #: What it says of itself in all its answers, as headers.
-    says: dict[str, str] = field(default_factory=dict)
-    #: Cancelled as the upstream's process ends.
-    life: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-
-    async def answer(self, seen: Seen, stream: SocketStream) -> bool:
-        """Answer one request."""
-        self.seen.append(seen)
-        return await self.behaviour(self, seen, stream)
+    received_requests: list[ReceivedRequest] = field(default_factory=list)
+    #: Requests whose client disconnected before the response was complete.
+    abandoned_requests: list[ReceivedRequest] = field(default_factory=list)
+    #: Headers with its statement about itself, sent with every response.
+    statement_headers: dict[str, str] = field(default_factory=dict)
+    #: Cancelled when the upstream's process exits.
+    process_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+
+    async def answer(
+        self, request: ReceivedRequest, stream: SocketStream
+    ) -> bool:
+        """Answer one request with the current behaviour."""
+        self.received_requests.append(request)
+        return await self.behaviour(self, request, stream)
 
-    def signed(self, seen: Seen) -> dict[str, str]:
-        """Return the headers that mark an answer as this upstream's."""
-        attempt = seen.headers.get('attempt', '')
-        mark = f'{self.lifetime}.{attempt}'
-        return {'attempt': attempt, 'signed': mark, **self.says}
+    def response_headers(self, request: ReceivedRequest) -> dict[str, str]:
+        """Return the signature and the statement headers of a response."""
+        attempt = request.headers.get('attempt', '')
+        signature = f'{self.lifetime}.{attempt}'
+        return {
+            'attempt': attempt,
+            'signed': signature,
+            **self.statement_headers,
+        }
 
 
-def whole(status: int = 200, body: bytes = b'done') -> Behaviour:
-    """Answer whole."""
+def complete_response(status: int = 200, body: bytes = b'done') -> Behaviour:
+    """Answer each request with a complete response."""
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        await stream.send(answer_bytes(status, body, upstream.signed(seen)))
+        await stream.send(
+            encode_response(status, body, upstream.response_headers(request))
+        )
         return True
 
     return run
 
 
-def ends_under(deadly: bytes, otherwise: Behaviour) -> Behaviour:
-    """End the upstream's process as it begins to run a request."""
+def crashes_on(crashing_body: bytes, other_behaviour: Behaviour) -> Behaviour:
+    """Crash the upstream when it starts to run a request with a given body."""
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        if seen.body != deadly:
-            return await otherwise(upstream, seen, stream)
-        head = answer_bytes(200, b'', {**upstream.signed(seen), **EVENT_STREAM})
+        if request.body != crashing_body:
+            return await other_behaviour(upstream, request, stream)
+        head = encode_response(
+            200, b'', {**upstream.response_headers(request), **EVENT_STREAM}
+        )
         await stream.send(head.replace(b'content-length: 0\r\n', b''))
-        upstream.life.cancel()
+        upstream.process_scope.cancel()
         await anyio.sleep_forever()
         return False
 
@@ -77,29 +89,32 @@
 
 
 def refused(status: int = 503) -> Behaviour:
-    """Say that the request was not run."""
+    """Refuse each request and mark it as not run."""
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        headers = {'not-run': '1', **upstream.says}
-        await stream.send(answer_bytes(status, b'', headers))
+        headers = {'not-run': '1', **upstream.statement_headers}
+        await stream.send(encode_response(status, b'', headers))
         return True
 
     return run
 
 
 def raw(*pieces: bytes, keep: bool = False) -> Behaviour:
-    """Send bytes as they are; ``{id}`` becomes the attempt's id."""
+    """Send raw bytes, replacing ``{id}`` by the id of the attempt.
+
+    ``keep`` keeps the connection open afterwards.
+    """
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        attempt = seen.headers.get('attempt', '').encode()
+        attempt = request.headers.get('attempt', '').encode()
         for piece in pieces:
             await stream.send(piece.replace(b'{id}', attempt))
         return keep
@@ -108,31 +123,36 @@
 
 
 def silent() -> Behaviour:
-    """Never answer; note when the client leaves."""
+    """Never answer; record the request when its client disconnects."""
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
         try:
             await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            upstream.left.append(seen)
+            upstream.abandoned_requests.append(request)
         return False
 
     return run
 
 
 def events(first: int, last: int, *, ends: bool = True) -> Behaviour:
-    """Send events with ids ``first`` to ``last``, or break off inside one."""
+    """Send events with ids ``first`` to ``last``.
+
+    Without ``ends``, the stream breaks off in the middle of one more event.
+    """
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        head = answer_bytes(200, b'', {**upstream.signed(seen), **EVENT_STREAM})
+        head = encode_response(
+            200, b'', {**upstream.response_headers(request), **EVENT_STREAM}
+        )
         await stream.send(head.replace(b'content-length: 0\r\n', b''))
         for number in range(first, last + 1):
             await stream.send(chunk(b'id: %d\ndata: x\n\n' % number))
@@ -146,40 +166,41 @@
 
 
 def resumable(last: int, breaks_after: int) -> Behaviour:
-    """Go on after the last event that the caller has.
+    """Resume the stream after the event in the last-event-id header.
 
-    A run from the start breaks off inside the event after ``breaks_after``.
+    A stream that starts from the beginning breaks off in the middle of the
+    event after ``breaks_after``.
     """
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        known = int(seen.headers.get('last-event-id', '0'))
-        behaviour = events(known + 1, last)
-        if not known:
+        last_event_id = int(request.headers.get('last-event-id', '0'))
+        behaviour = events(last_event_id + 1, last)
+        if not last_event_id:
             behaviour = events(1, breaks_after, ends=False)
-        return await behaviour(upstream, seen, stream)
+        return await behaviour(upstream, request, stream)
 
     return run
 
 
 def chunk(content: bytes) -> bytes:
-    """Return one chunk of a chunked body."""
+    """Encode one chunk of a chunked body."""
     return b'%x\r\n%s\r\n' % (len(content), content)
 
 
 def in_turn(*behaviours: Behaviour) -> Behaviour:
-    """Answer the first request the first way, and so on; then the last."""
-    left = list(behaviours)
+    """Use one behaviour per request in order; repeat the last one."""
+    remaining = list(behaviours)
 
     async def run(
         upstream: StandInUpstream,
-        seen: Seen,
+        request: ReceivedRequest,
         stream: SocketStream,
     ) -> bool:
-        behaviour = left.pop(0) if len(left) > 1 else left[0]
-        return await behaviour(upstream, seen, stream)
+        behaviour = remaining.pop(0) if len(remaining) > 1 else remaining[0]
+        return await behaviour(upstream, request, stream)
 
     return run
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -28,9 +28,9 @@
     PlainShare,
 )
 from spanfall_standins.gateway.server import (
-    AfterEnd,
-    Seen,
-    answer_bytes,
+    AfterExit,
+    ReceivedRequest,
+    encode_response,
     start_server,
 )
 from spanfall_standins.gateway.store import StandInStore
@@ -115,7 +115,7 @@
     async def add_upstream(
         self,
         behaviour: Behaviour,
-        after_end: AfterEnd = AfterEnd.REFUSES,
+        after_end: AfterExit = AfterExit.REFUSES,
     ) -> StandInUpstream:
         """Start an upstream and add its entry to the store."""
         lifetime = f'u-{next(self._numbers)}'
@@ -123,7 +123,7 @@
         address = await start_server(
             self.tasks,
             upstream.answer,
-            upstream.life,
+            upstream.process_scope,
             after_end,
         )
         row = ListedUpstream(lifetime, SERVICE, address, 'north', slots=4)
@@ -196,10 +196,12 @@
         await wait_until_open(listen.callers)
         return state
 
-    async def answer_cloud(self, seen: Seen, stream: SocketStream) -> bool:
+    async def answer_cloud(
+        self, seen: ReceivedRequest, stream: SocketStream
+    ) -> bool:
         """Record a call to the cloud API."""
         self.cloud_calls.append(json.loads(seen.body))
-        await stream.send(answer_bytes(200, b''))
+        await stream.send(encode_response(200, b''))
         return True
 
 
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -33,7 +33,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 
@@ -86,12 +86,12 @@
 async def test_a_failing_store_is_probed_by_one_call(world):
     """Listings are suspended until a single call finds the store available."""
     state = await world.add_gateway()
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not state.is_ready(state.timers.now()))
     listed = world.store.listings
     await anyio.sleep(2 * READ_PERIOD)
     assert world.store.listings == listed
-    world.store.failing = 0
+    world.store.error_status = 0
     await wait_until(lambda: world.store.listings > listed)
 
 
@@ -142,7 +142,7 @@
     The entry must then read the listing from the store itself.
     """
     home, other = await two_gateways(world)
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     await wait_until(lambda: upstream.lifetime in other.directory.rows)
     home.directory.apply = lambda *_: ()
     home.directory.mark_confirmed = lambda _: None
@@ -155,7 +155,7 @@
 async def test_a_home_that_resigns_is_followed(world):
     """Entries keep the old home's table until the new home sends one."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     home, other = await two_gateways(world)
     await ask(other, '/keyed/7', authorization='Key k')
     await wait_until(lambda: bool(other.report().spending.levels))
@@ -203,7 +203,7 @@
         self._world = world
 
     async def revoke(self, timeline, lease):
-        self._world.store.end(lease)
+        self._world.store.end_lease(lease)
 
 
 @in_world
@@ -212,7 +212,7 @@
     home, other = await two_gateways(world)
     ended = home.tenure
     for lease in list(world.store.leases):
-        world.store.end(lease)
+        world.store.end_lease(lease)
     await wait_until(lambda: ended.resigned)
     assert not ended.may_allocate(home.timers.now())
     await wait_until(lambda: home_of(home, other) is not None)
@@ -232,7 +232,7 @@
 
 @in_world
 async def test_a_store_that_grants_long_leases_only(world):
-    world.store.least_lease_ms = 4000
+    world.store.min_lease_ms = 4000
     state = await world.add_gateway(least_lease_seconds=4)
     await wait_until(lambda: state.is_home(state.timers.now()))
 
@@ -240,10 +240,10 @@
 @in_world
 async def test_a_lost_answer_to_the_claim_is_resolved(world):
     """A claim without an answer may be written; the lease identifies it."""
-    world.store.loses_answers = True
+    world.store.drops_responses = True
     state = await world.add_unready_gateway()
     await wait_until(lambda: len(world.store.leases) > 0)
-    world.store.loses_answers = False
+    world.store.drops_responses = False
     await wait_until(lambda: state.is_home(state.timers.now()))
 
 
@@ -263,7 +263,7 @@
     Without this, hundreds of restarting entries would each read the listing.
     """
     world.configure()
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     home = await world.add_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
     own = home.counters.registry.get_sample_value
--- a/tests/test_gateway_home_restore.py
+++ b/tests/test_gateway_home_restore.py
@@ -99,12 +99,12 @@
         await wait_until(lambda: is_home(first))
         other = await world.add_gateway()
         await wait_until(lambda: other.home_answered_at > 0)
-        world.store.failing = 503
+        world.store.error_status = 503
         await wait_until(lambda: first.tenure.is_renewal_failing)
         epoch = first.tenure.epoch
         life.cancel()
     world.store.restore(world.store.copy())
-    world.store.failing = 0
+    world.store.error_status = 0
     restored_at = other.timers.now()
     await wait_until(lambda: is_home(other))
     assert other.tenure.epoch > epoch
@@ -191,13 +191,13 @@
 async def test_a_home_claims_again_after_a_restore(world):
     home = await world.add_gateway()
     await wait_until(lambda: is_home(home))
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not is_home(home))
     world.store.restore(world.store.copy())
     with patch.object(
         leadership, 'lookup_period', return_value=VERY_LONG_SECONDS
     ):
-        world.store.failing = 0
+        world.store.error_status = 0
         with anyio.fail_after(REWRITE_TIMEOUT_SECONDS):
             await wait_until(lambda: is_home(home))
 
--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -19,7 +19,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_store_restore import mark_leaving
 from test_gateway_succession import is_home
@@ -85,7 +85,9 @@
         workspaces = [PlainWorkspace('w', ['k'], 1e6, 1e6)]
         self.world.configure(workspaces=workspaces)
         for _ in range(UPSTREAMS):
-            self.upstreams.append(await self.world.add_upstream(whole()))
+            self.upstreams.append(
+                await self.world.add_upstream(complete_response())
+            )
         home = await self.world.add_killable_gateway(self.life, **BOUNDS)
         await wait_until(lambda: is_home(home))
         self.gateways.append(home)
@@ -146,7 +148,7 @@
         self.rng.shuffle(events)
         while not is_past(until):
             await anyio.sleep(self.rng.uniform(0.1, 1.0))
-            if self.world.store.failing:
+            if self.world.store.error_status:
                 continue
             self.world.configure()
             self.record_written(CONFIGURATION_KEY)
@@ -154,7 +156,7 @@
                 await events.pop()()
 
     async def _add_upstream(self):
-        newer = await self.world.add_upstream(whole())
+        newer = await self.world.add_upstream(complete_response())
         self.upstreams.append(newer)
         self.record_written(entry_key(newer))
 
@@ -171,13 +173,13 @@
         store = self.world.store
         while not is_past(until):
             await anyio.sleep(self.rng.uniform(1, 4))
-            store.failing = self.rng.choice((0, 503))
+            store.error_status = self.rng.choice((0, 503))
             await anyio.sleep(self.rng.uniform(0, MAX_OUTAGE_SECONDS))
             store.restore(self.rng.choice(self.copies))
             # From now on only copies of the new timeline are used.
             self.copies.clear()
             self.copies.append(store.copy())
-            store.failing = 0
+            store.error_status = 0
             await anyio.sleep(self.rng.uniform(0, MAX_REWRITE_DELAY))
             self.rewrite_lost()
 
--- a/tests/test_gateway_store_restore.py
+++ b/tests/test_gateway_store_restore.py
@@ -19,7 +19,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 #: Seconds within which the platform requires a change to be applied.
@@ -62,16 +62,18 @@
 # Guards against ignoring a listing because its revision is lower than before.
 @in_world
 async def test_upstream_leaving_after_restore(world):
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     gateways = await add_gateways_and_restore(world)
     world.configure(body_bytes=12)
     mark_leaving(world, upstreams[0])
     await anyio.sleep(DRAIN_SECONDS)
-    before = len(upstreams[0].seen)
+    before = len(upstreams[0].received_requests)
     for number, state in enumerate(gateways * 4):
         answer = await ask(state, '/any/1', attempt=f'a{number}')
         assert answer.status == 200
-    assert len(upstreams[0].seen) == before
+    assert len(upstreams[0].received_requests) == before
 
 
 def mark_leaving(world, upstream):
@@ -93,7 +95,9 @@
 # Guards against a restore that reverts what an upstream has written.
 @in_world
 async def test_upstream_that_left_before_restore(world):
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     gateways = [await world.add_gateway() for _ in range(2)]
     backup = world.store.copy()
     mark_leaving(world, upstreams[0])
@@ -109,9 +113,9 @@
 # even though no call to the store has failed.
 @in_world
 async def test_upstream_missing_from_restored_backup(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     backup = world.store.copy()
-    newer = await world.add_upstream(whole())
+    newer = await world.add_upstream(complete_response())
     gateways = [await world.add_gateway() for _ in range(2)]
     key = f'{UPSTREAM_PREFIX}{newer.lifetime}'
     entry = world.store.items[key].content
@@ -128,15 +132,15 @@
 async def test_key_revoked_before_restore(world):
     workspace = PlainWorkspace('w', ['k'])
     world.configure(workspaces=[workspace])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
     backup = world.store.copy()
-    world.store.failing = 503
+    world.store.error_status = 503
     version = world.configure(workspaces=[replace_keys(workspace)])
     lost = world.store.items[CONFIGURATION_KEY].content
     await wait_until(lambda: not serves_keys(state))
     world.store.restore(backup)
-    world.store.failing = 0
+    world.store.error_status = 0
     answers = [await ask_with_key(state, number) for number in range(15)]
     assert {answer.status for answer in answers} == {503}
     world.store.put(CONFIGURATION_KEY, lost)
@@ -148,10 +152,10 @@
 @in_world
 async def test_keys_served_again_after_lossless_restore(world):
     state = await world.add_gateway(revoke_seconds=REVOKE_SECONDS)
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not serves_keys(state))
     world.store.restore(world.store.copy())
-    world.store.failing = 0
+    world.store.error_status = 0
     restored_at = state.timers.now()
     await wait_until(lambda: serves_keys(state))
     waited = state.timers.now() - restored_at
@@ -203,7 +207,7 @@
 # Guards against a listing with pages from before and after a restore.
 @in_world
 async def test_restore_between_two_pages(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     async with store_client(world) as store:
         await store.list_items('x')
         read_page = store._page
--- a/tests/test_gateway_succession.py
+++ b/tests/test_gateway_succession.py
@@ -23,7 +23,7 @@
 from spanfall_node.gateway.tables.new_state import build_state
 from spanfall_node.gateway.tables.tenure import home_key
 from spanfall_standins.gateway.dialect import PlainWorkspace
-from spanfall_standins.gateway.server import answer_bytes, start_server
+from spanfall_standins.gateway.server import encode_response, start_server
 from support import wait_until
 
 #: Seconds of a lease that outlasts any test.
@@ -39,7 +39,7 @@
 
     async def answer(self, seen, stream):
         if self.is_closed:
-            await stream.send(answer_bytes(503, b''))
+            await stream.send(encode_response(503, b''))
             return True
         return await self._store.answer(seen, stream)
 
@@ -70,7 +70,7 @@
 
 @in_world
 async def test_a_home_without_the_store_hands_over(world):
-    world.store.least_lease_ms = LONG_LEASE_SECONDS * 1000
+    world.store.min_lease_ms = LONG_LEASE_SECONDS * 1000
     store_gate = StoreGate(world.store)
     settings = {'least_lease_seconds': LONG_LEASE_SECONDS}
     home = await add_gated_gateway(world, store_gate, **settings)
@@ -111,7 +111,7 @@
     other = await world.add_gateway()
     await wait_until(lambda: other.home_answered_at > 0)
     calls = other.counters.registry.get_sample_value
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: home.tenure.is_renewal_failing)
     await wait_until(
         lambda: calls('spanfall_store_calls_total', {'outcome': '503'}),
--- a/tests/test_gateway_unit_requests.py
+++ b/tests/test_gateway_unit_requests.py
@@ -15,8 +15,8 @@
 )
 from spanfall_core.gateway.limits.quotas import Quotas
 from spanfall_node.gateway.limits.unit_requests import (
-    UNITS_SECONDS,
-    UnitRequests,
+    UNITS_TIMEOUT_SECONDS,
+    UnitClient,
 )
 from spanfall_node.gateway.links.messages import UnitsMessage
 from spanfall_node.gateway.store.quota_record import (
@@ -25,7 +25,7 @@
 )
 from spanfall_node.gateway.tables.counters import Counters
 from spanfall_standins.gateway.dialect import PlainWorkspace
-from spanfall_standins.gateway.upstream import refused, whole
+from spanfall_standins.gateway.upstream import complete_response, refused
 from support import run_async, wait_until
 
 LIMITS = {'w': Limit(rate=1, burst=100, window=8)}
@@ -56,14 +56,14 @@
 def obtain(answers, units=50, state=None):
     """Request units; the home sends the given answers, if any."""
     state = state or entry_that_holds(10)
-    requests = UnitRequests(state)
+    requests = UnitClient(state)
     asked = []
 
     async def send(message):
         asked.append(message.units)
         for lent in answers:
             answer = UnitsMessage(message.number, message.workspace, lent)
-            requests.learn(answer)
+            requests.accept_answer(answer)
 
     async def main():
         requests.connect(send)
@@ -95,7 +95,7 @@
 def test_a_late_answer_counts():
     """The home counts the units as held by the entry: they must not be lost."""
     state = entry_that_holds(10)
-    requests = UnitRequests(state)
+    requests = UnitClient(state)
 
     async def main():
         async with anyio.create_task_group() as tasks:
@@ -104,8 +104,8 @@
                 tasks.start_soon(answer_late, message)
 
             async def answer_late(message):
-                await anyio.sleep(UNITS_SECONDS * 2)
-                requests.learn(UnitsMessage(message.number, 'w', 40))
+                await anyio.sleep(UNITS_TIMEOUT_SECONDS * 2)
+                requests.accept_answer(UnitsMessage(message.number, 'w', 40))
 
             requests.connect(send)
             assert not await requests.obtain('w', 50)
@@ -140,7 +140,7 @@
 
     The pool may be overdrawn for one request.
     """
-    _, other = await two_entries(world, whole())
+    _, other = await two_entries(world, complete_response())
     answers = []
     for _ in range(ATTEMPTS):
         answers += await statuses(other, 1)
@@ -165,7 +165,7 @@
 @in_world
 async def test_the_record_is_removed_when_demand_falls(world):
     """A record that stayed would be applied by a much later home."""
-    _, other = await two_entries(world, whole())
+    _, other = await two_entries(world, complete_response())
     assert SPENDING_KEY not in world.store.items
     await statuses(other, MAX_REQUESTS)
     await wait_until(
