--- a/bench/tables.py
+++ b/bench/tables.py
@@ -16,9 +16,9 @@
 from spanfall_core.membership import (
     Member,
     MemberTable,
-    hear,
     make_record,
     merge_record,
+    record_heartbeat,
 )
 from spanfall_core.tables import Pool, Request, Upstream
 from spanfall_core.upstreams import put_upstream
@@ -210,7 +210,9 @@
         started = time.process_time()
         for _ in range(size):
             decode_batch(message)
-            hear(table, table.records['brisbane-depot'].members[KNOWN], 1)
+            record_heartbeat(
+                table, table.records['brisbane-depot'].members[KNOWN], 1
+            )
         points.append((size, time.process_time() - started))
     return points
 
--- a/packages/spanfall-api/src/spanfall_api/changes.py
+++ b/packages/spanfall-api/src/spanfall_api/changes.py
@@ -7,7 +7,7 @@
     Change,
     ConfigState,
     Edit,
-    Stored,
+    StoredObject,
 )
 
 
@@ -120,7 +120,7 @@
         state.operations.update(document.operations)
         state.objects.update(
             {
-                (row.kind, row.name): Stored(row.revision, row.document)
+                (row.kind, row.name): StoredObject(row.revision, row.document)
                 for row in document.objects
             },
         )
--- a/packages/spanfall-core/src/spanfall_core/admission.py
+++ b/packages/spanfall-core/src/spanfall_core/admission.py
@@ -22,13 +22,13 @@
 #: Retry-After where nothing better is known, in seconds.
 DEFAULT_RETRY_AFTER = 1.0
 #: Least work that a request counts for, in seconds of a slot.
-LEAST_WORK = 0.01
+MIN_WORK_SECONDS = 0.01
 
 
 def refill_bucket(workspace: Workspace, now: float) -> None:
     """Add the tokens that the workspace earned since the last refill."""
-    earned = (now - workspace.refilled_at) * workspace.rate
-    workspace.bucket = min(workspace.burst, workspace.bucket + max(0, earned))
+    accrued = (now - workspace.refilled_at) * workspace.rate
+    workspace.bucket = min(workspace.burst, workspace.bucket + max(0, accrued))
     workspace.refilled_at = now
 
 
@@ -49,10 +49,10 @@
         if priority >= req.priority
     )
     next_free = mean_run_seconds(pool) / slots
-    return next_free + ahead / (slots * share_of(pool, workspace))
+    return next_free + ahead / (slots * slot_share(pool, workspace))
 
 
-def share_of(pool: Pool, workspace: Workspace) -> float:
+def slot_share(pool: Pool, workspace: Workspace) -> float:
     """Return the share of the slots that a workspace gets when all queue."""
     others = sum(
         row.weight
@@ -74,9 +74,9 @@
     """Estimate the seconds for which a request will occupy a slot."""
     rows = pool.upstreams.values()
     if req.kind is ServiceKind.APPLICATION or not rows:
-        return max(LEAST_WORK, mean_run_seconds(pool))
+        return max(MIN_WORK_SECONDS, mean_run_seconds(pool))
     token_seconds = sum(row.token_seconds for row in rows) / len(rows)
-    return max(LEAST_WORK, expected_tokens(req) * token_seconds)
+    return max(MIN_WORK_SECONDS, expected_tokens(req) * token_seconds)
 
 
 def check_limits(
@@ -89,8 +89,8 @@
     if workspace.rate:
         refill_bucket(workspace, now)
         if workspace.bucket < 1:
-            missing = (1 - workspace.bucket) / workspace.rate
-            return RefusalReason.RATE_LIMITED, missing
+            seconds_to_refill = (1 - workspace.bucket) / workspace.rate
+            return RefusalReason.RATE_LIMITED, seconds_to_refill
     in_use = workspace.running + workspace.queued
     limit = workspace.max_running + workspace.max_queued
     if workspace.max_running and in_use >= limit:
@@ -110,11 +110,11 @@
     one) is never refused by a limit: it has been counted before.
     """
     workspace = find_workspace(pool, req.workspace)
-    over = None
+    exceeded = None
     if req.attempt == 1:
-        over = check_limits(pool, workspace, req, now)
-    if over is not None:
-        reason, wait = over
+        exceeded = check_limits(pool, workspace, req, now)
+    if exceeded is not None:
+        reason, wait = exceeded
         retry_after = min(MAX_RETRY_AFTER, max(DEFAULT_RETRY_AFTER, wait))
         return [Refuse(req.request_id, reason, retry_after=retry_after)]
     if workspace.rate and req.attempt == 1:
@@ -157,12 +157,12 @@
     pool.queued += 1
 
 
-def note_dequeued(pool: Pool, req: Request) -> None:
+def record_dequeued(pool: Pool, req: Request) -> None:
     """Take a request out of the counts of its queue."""
     workspace = pool.workspaces[req.workspace]
     workspace.queued -= 1
-    left = workspace.queued_work[req.priority] - req.work
-    workspace.queued_work[req.priority] = left
+    remaining_work = workspace.queued_work[req.priority] - req.work
+    workspace.queued_work[req.priority] = remaining_work
     if not workspace.queued:
         workspace.queued_work.clear()
     pool.queued -= 1
--- a/packages/spanfall-core/src/spanfall_core/claims.py
+++ b/packages/spanfall-core/src/spanfall_core/claims.py
@@ -44,7 +44,7 @@
     next_sequence: int = 0
     loaded: bool = False
     claims: dict[str, Claim] = field(default_factory=dict)
-    oldest: dict[int, float] = field(default_factory=dict)
+    newest_times: dict[int, float] = field(default_factory=dict)
     pending: list[Claim] = field(default_factory=list)
 
 
@@ -55,7 +55,7 @@
     for claim in batch.claims:
         log.claims.setdefault(claim.key, claim)
     newest = max((row.at for row in batch.claims), default=0)
-    log.oldest[batch.sequence] = newest
+    log.newest_times[batch.sequence] = newest
     log.next_sequence = batch.sequence + 1
 
 
@@ -81,11 +81,11 @@
     for key in stale:
         log.claims.pop(key)
     last = log.next_sequence - 1
-    old = [
+    expired = [
         sequence
-        for sequence, newest in log.oldest.items()
+        for sequence, newest in log.newest_times.items()
         if newest < before and sequence != last
     ]
-    for sequence in old:
-        log.oldest.pop(sequence)
-    return old
+    for sequence in expired:
+        log.newest_times.pop(sequence)
+    return expired
--- a/packages/spanfall-core/src/spanfall_core/configuration.py
+++ b/packages/spanfall-core/src/spanfall_core/configuration.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
+class StoredObject:
     """Hold an object and the revision that changed it last."""
 
     revision: int
@@ -66,7 +66,7 @@
     """Hold all objects as of a revision."""
 
     revision: int = 0
-    objects: dict[ObjectId, Stored] = field(default_factory=dict)
+    objects: dict[ObjectId, StoredObject] = field(default_factory=dict)
     operations: dict[str, int] = field(default_factory=dict)
 
 
@@ -88,7 +88,7 @@
     if edit.document is None:
         state.objects.pop(object_id, None)
     else:
-        state.objects[object_id] = Stored(revision, edit.document)
+        state.objects[object_id] = StoredObject(revision, edit.document)
 
 
 def find_conflicts(
--- a/packages/spanfall-core/src/spanfall_core/dispatch.py
+++ b/packages/spanfall-core/src/spanfall_core/dispatch.py
@@ -7,14 +7,14 @@
 
 from heapq import heappop
 
-from spanfall_core.admission import note_dequeued
+from spanfall_core.admission import record_dequeued
 from spanfall_core.effects import Dispatch, Effect, Refuse, Right
 from spanfall_core.reasons import RefusalReason, RunState
 from spanfall_core.routing import (
     Chooser,
     choose_by_score,
     free_upstreams,
-    remember_prefix,
+    record_prefix,
 )
 from spanfall_core.tables import (
     Pool,
@@ -32,7 +32,7 @@
     choose: Chooser = choose_by_score,
 ) -> list[Effect]:
     """Refuse what is late, then dispatch while there are free slots."""
-    effects: list[Effect] = list(expire(pool, now))
+    effects: list[Effect] = list(refuse_expired(pool, now))
     while pool.queued:
         workspace = next_workspace(pool)
         if workspace is None:
@@ -44,7 +44,7 @@
     return effects
 
 
-def expire(pool: Pool, now: float) -> list[Refuse]:
+def refuse_expired(pool: Pool, now: float) -> list[Refuse]:
     """Refuse the queued requests whose deadline has passed."""
     refusals = []
     while pool.due and pool.due[0][0] <= now:
@@ -79,7 +79,7 @@
 def remove_queued(pool: Pool, req: Request) -> None:
     """Take a request out of its queue; its entries are skipped later."""
     req.state = RequestState.DONE
-    note_dequeued(pool, req)
+    record_dequeued(pool, req)
 
 
 def next_workspace(pool: Pool) -> Workspace | None:
@@ -87,14 +87,14 @@
     ready = [
         pool.workspaces[name]
         for name in pool.queues
-        if pool.workspaces[name].queued and has_room(pool.workspaces[name])
+        if pool.workspaces[name].queued and has_capacity(pool.workspaces[name])
     ]
     if not ready:
         return None
     return min(ready, key=lambda row: (row.virtual_time, row.name))
 
 
-def has_room(workspace: Workspace) -> bool:
+def has_capacity(workspace: Workspace) -> bool:
     """Tell whether the workspace may have one more request running."""
     limit = workspace.max_running
     return not limit or workspace.running < limit
@@ -112,7 +112,7 @@
     if not rows:
         return None
     heappop(pool.queues[workspace.name])
-    note_dequeued(pool, req)
+    record_dequeued(pool, req)
     row = choose(pool, req, rows)
     charge(pool, workspace, req)
     return start_run(pool, req, row, now)
@@ -147,14 +147,14 @@
     req.upstream_id = row.upstream_id
     req.run += 1
     req.dispatched_at = now
-    right = needed_right(req)
+    right = required_right(req)
     waits = right is not Right.NONE
     req.state = RequestState.AWAITING_RIGHT if waits else RequestState.RUNNING
-    remember_prefix(pool, req, row.upstream_id, now)
+    record_prefix(pool, req, row.upstream_id, now)
     return Dispatch(req.request_id, row.upstream_id, req.run, right)
 
 
-def needed_right(req: Request) -> Right:
+def required_right(req: Request) -> Right:
     """Return what proves that no other process runs the request."""
     if req.idempotent:
         return Right.NONE
--- a/packages/spanfall-core/src/spanfall_core/membership.py
+++ b/packages/spanfall-core/src/spanfall_core/membership.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from spanfall_core.placement import Place
+from spanfall_core.placement import HomeCandidate
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     """
 
     records: dict[str, Record] = field(default_factory=dict)
-    heard: dict[str, float] = field(default_factory=dict)
+    last_heartbeats: dict[str, float] = field(default_factory=dict)
     revision: int = 0
     homes: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
@@ -63,19 +63,19 @@
     if known is not None and newer.version <= known.version:
         return False
     table.records[data_centre] = newer
-    note_change(table)
+    record_change(table)
     return True
 
 
-def note_change(table: MemberTable) -> None:
+def record_change(table: MemberTable) -> None:
     """Count a change and drop what was computed from the old table."""
     table.revision += 1
     table.homes.clear()
 
 
-def hear(table: MemberTable, member: Member, now: float) -> bool:
+def record_heartbeat(table: MemberTable, member: Member, now: float) -> bool:
     """Note a heartbeat at the delegate; return whether the list changed."""
-    table.heard[member.node_id] = now
+    table.last_heartbeats[member.node_id] = now
     record = table.records.setdefault(member.data_centre, Record())
     known = record.members.get(member.node_id)
     if known == member:
@@ -84,11 +84,11 @@
         return False
     record.members[member.node_id] = member
     record.version += 1
-    note_change(table)
+    record_change(table)
     return True
 
 
-def expire(
+def expire_members(
     table: MemberTable,
     data_centre: str,
     before: float,
@@ -98,14 +98,14 @@
     silent = [
         node_id
         for node_id in record.members
-        if table.heard.get(node_id, 0) < before
+        if table.last_heartbeats.get(node_id, 0) < before
     ]
     for node_id in silent:
         record.members.pop(node_id)
-        table.heard.pop(node_id, None)
+        table.last_heartbeats.pop(node_id, None)
     if silent:
         record.version += 1
-        note_change(table)
+        record_change(table)
     return silent
 
 
@@ -128,10 +128,10 @@
     return next(found, None)
 
 
-def list_places(table: MemberTable) -> list[Place]:
+def list_home_candidates(table: MemberTable) -> list[HomeCandidate]:
     """Return the nodes that may be homes: all but the draining ones."""
     return [
-        Place(member.node_id, member.data_centre)
+        HomeCandidate(member.node_id, member.data_centre)
         for member in all_members(table)
         if not member.draining
     ]
--- a/packages/spanfall-core/src/spanfall_core/placement.py
+++ b/packages/spanfall-core/src/spanfall_core/placement.py
@@ -16,20 +16,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class HomeCandidate:
     """Name a node and its data centre as a candidate for a home."""
 
     node_id: str
     data_centre: str
 
 
-def rank_places(service: str, places: Iterable[Place]) -> list[Place]:
+def rank_candidates(
+    service: str, candidates: Iterable[HomeCandidate]
+) -> list[HomeCandidate]:
     """Order the places by their rendezvous score for the service."""
     return sorted(
-        places,
-        key=lambda place: (
-            xxh3_64_intdigest(f'{service}\0{place.node_id}'.encode()),
-            place.node_id,
+        candidates,
+        key=lambda candidate: (
+            xxh3_64_intdigest(f'{service}\0{candidate.node_id}'.encode()),
+            candidate.node_id,
         ),
         reverse=True,
     )
@@ -37,20 +39,24 @@
 
 def choose_homes(
     service: str,
-    places: Iterable[Place],
+    candidates: Iterable[HomeCandidate],
     count: int = HOMES_PER_SERVICE,
 ) -> tuple[str, ...]:
     """Return the node ids of the homes, acting home first.
 
     Later homes come from data centres not used yet while there are any.
     """
-    ranked = rank_places(service, places)
+    ranked = rank_candidates(service, candidates)
     seen: set[str] = set()
-    fresh: list[Place] = []
-    other: list[Place] = []
-    for place in ranked:
-        chosen = other if place.data_centre in seen else fresh
-        chosen.append(place)
-        seen.add(place.data_centre)
-    chosen_places = islice(fresh + other, count)
-    return tuple(row.node_id for row in chosen_places)
+    new_data_centre: list[HomeCandidate] = []
+    same_data_centre: list[HomeCandidate] = []
+    for candidate in ranked:
+        group = (
+            same_data_centre
+            if candidate.data_centre in seen
+            else new_data_centre
+        )
+        group.append(candidate)
+        seen.add(candidate.data_centre)
+    homes = islice(new_data_centre + same_data_centre, count)
+    return tuple(row.node_id for row in homes)
--- a/packages/spanfall-core/src/spanfall_core/reclaim.py
+++ b/packages/spanfall-core/src/spanfall_core/reclaim.py
@@ -13,9 +13,9 @@
 from spanfall_core.reasons import RetryReason
 from spanfall_core.recovery import requeue
 from spanfall_core.routing import (
-    forget_prefixes,
+    drop_prefixes,
     free_upstreams,
-    remember_prefix,
+    record_prefix,
     score,
     uncached_tokens,
 )
@@ -29,11 +29,11 @@
 )
 
 #: Part of the notice kept free, so that a stream ends before the host does.
-SAFETY_SECONDS = 0.5
+SAFETY_MARGIN_SECONDS = 0.5
 
 
 @unique
-class Way(StrEnum):
+class EvacuationAction(StrEnum):
     """Name the ways to treat a stream of a leaving upstream."""
 
     FINISH = 'finish'
@@ -42,10 +42,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class EvacuationDecision:
     """Hold the way chosen for one stream and its target, if it moves."""
 
-    way: Way
+    action: EvacuationAction
     target: Upstream | None = None
 
 
@@ -79,10 +79,10 @@
     return [
         effect
         for req in runs
-        for effect in apply_choice(
+        for effect in apply_decision(
             pool,
             req,
-            choose_way(pool, req, row, now),
+            choose_action(pool, req, row, now),
             now,
         )
     ]
@@ -95,51 +95,55 @@
     return max(0, req.max_tokens - req.progress) * row.token_seconds
 
 
-def choose_way(
+def choose_action(
     pool: Pool,
     req: Request,
     row: Upstream,
     now: float,
-) -> Choice:
+) -> EvacuationDecision:
     """Choose the cheapest way that keeps the request whole.
 
     Applications have no state to move: their calls finish in place, and
     what the end of the host cuts short is decided by recovery.
     """
     until = float('inf') if row.leaves_at is None else row.leaves_at
-    left = until - now - SAFETY_SECONDS
-    needed = remaining_seconds(req, row, now)
-    if req.kind is ServiceKind.APPLICATION or needed <= left:
-        return Choice(Way.FINISH)
+    seconds_left = until - now - SAFETY_MARGIN_SECONDS
+    seconds_needed = remaining_seconds(req, row, now)
+    if req.kind is ServiceKind.APPLICATION or seconds_needed <= seconds_left:
+        return EvacuationDecision(EvacuationAction.FINISH)
     rows = free_upstreams(pool, req, now)
-    if not rows or left < pool.policy.export_seconds:
-        return Choice(Way.RESUME)
+    if not rows or seconds_left < pool.policy.export_seconds:
+        return EvacuationDecision(EvacuationAction.RESUME)
     if 'kv-move' in pool.policy.disabled:
-        return Choice(Way.RESUME)
+        return EvacuationDecision(EvacuationAction.RESUME)
     target = min(
         rows,
         key=lambda other: (score(pool, req, other), other.upstream_id),
     )
-    lost = uncached_tokens(pool, req, target)
-    redo = lost * pool.policy.prefill_token_seconds
-    move_is_cheaper = pool.policy.export_seconds < redo * (
+    uncached = uncached_tokens(pool, req, target)
+    recompute_seconds = uncached * pool.policy.prefill_token_seconds
+    move_is_cheaper = pool.policy.export_seconds < recompute_seconds * (
         1 + pool.policy.recompute_weight
     )
-    return Choice(Way.MOVE, target) if move_is_cheaper else Choice(Way.RESUME)
+    return (
+        EvacuationDecision(EvacuationAction.MOVE, target)
+        if move_is_cheaper
+        else EvacuationDecision(EvacuationAction.RESUME)
+    )
 
 
-def apply_choice(
+def apply_decision(
     pool: Pool,
     req: Request,
-    choice: Choice,
+    decision: EvacuationDecision,
     now: float,
 ) -> list[Effect]:
     """Change the tables as chosen and return the effects."""
-    if choice.way is Way.FINISH:
+    if decision.action is EvacuationAction.FINISH:
         return []
-    if choice.way is Way.RESUME or choice.target is None:
+    if decision.action is EvacuationAction.RESUME or decision.target is None:
         return resume_elsewhere(pool, req)
-    return [move_run(pool, req, choice.target, now)]
+    return [move_run(pool, req, decision.target, now)]
 
 
 def resume_elsewhere(pool: Pool, req: Request) -> list[Effect]:
@@ -165,7 +169,7 @@
     req.run += 1
     req.dispatched_at = now
     req.avoid.add(source_id)
-    remember_prefix(pool, req, target.upstream_id, now)
+    record_prefix(pool, req, target.upstream_id, now)
     return Move(req.request_id, source_id, target.upstream_id, req.run)
 
 
@@ -174,4 +178,4 @@
     row = pool.upstreams.get(upstream_id)
     if row is not None:
         row.state = UpstreamState.GONE
-        forget_prefixes(pool, upstream_id)
+        drop_prefixes(pool, upstream_id)
--- a/packages/spanfall-core/src/spanfall_core/recovery.py
+++ b/packages/spanfall-core/src/spanfall_core/recovery.py
@@ -43,7 +43,7 @@
 }
 
 #: Failures that say nothing bad of the upstream itself.
-BLAMELESS = frozenset((Failure.LEAVING, Failure.REFUSED))
+NOT_UPSTREAM_FAULTS = frozenset((Failure.LEAVING, Failure.REFUSED))
 
 
 def run_failed(
@@ -54,24 +54,24 @@
 ) -> list[Effect]:
     """Return the request to the queue, or end it with a typed refusal."""
     row = pool.upstreams.get(req.upstream_id)
-    if row is not None and failure not in BLAMELESS:
+    if row is not None and failure not in NOT_UPSTREAM_FAULTS:
         record_failure(pool, row, now)
-    left = row is None or row.state is not UpstreamState.ACTIVE
+    is_leaving = row is None or row.state is not UpstreamState.ACTIVE
     if failure not in PROVEN_NOT_RUN:
         req.may_have_run = True
     if req.may_have_run and not req.idempotent:
         finish(pool, req)
         reason = RefusalReason.OUTCOME_UNKNOWN
         return [Refuse(req.request_id, reason, RunState.UNKNOWN)]
-    if left and failure is not Failure.ERROR:
+    if is_leaving and failure is not Failure.ERROR:
         failure = Failure.LEAVING
-    if not may_retry(pool, req, failure):
+    if not consume_retry(pool, req, failure):
         finish(pool, req)
         return [refuse_exhausted(req)]
     return [requeue(pool, req, RETRY_REASONS[failure])]
 
 
-def may_retry(pool: Pool, req: Request, failure: Failure) -> bool:
+def consume_retry(pool: Pool, req: Request, failure: Failure) -> bool:
     """Tell whether the request and the pool have a retry left.
 
     Leaving upstreams are the platform's doing and never cost a retry.
--- a/packages/spanfall-core/src/spanfall_core/routing.py
+++ b/packages/spanfall-core/src/spanfall_core/routing.py
@@ -36,7 +36,7 @@
     return count * BLOCK_TOKENS
 
 
-def remember_prefix(
+def record_prefix(
     pool: Pool,
     req: Request,
     upstream_id: str,
@@ -51,7 +51,7 @@
         pool.prefixes.popitem(last=False)
 
 
-def forget_prefixes(pool: Pool, upstream_id: str) -> None:
+def drop_prefixes(pool: Pool, upstream_id: str) -> None:
     """Drop all prefixes of an upstream that is gone or lost its cache."""
     stale = [entry for entry in pool.prefixes if entry[1] == upstream_id]
     for entry in stale:
@@ -62,8 +62,8 @@
     """Return the tokens that the upstream must compute before it decodes."""
     if req.kind is ServiceKind.APPLICATION:
         return 0
-    known = cached_tokens(pool, req, row.upstream_id)
-    return max(0, req.prompt_tokens + req.progress - known)
+    cached = cached_tokens(pool, req, row.upstream_id)
+    return max(0, req.prompt_tokens + req.progress - cached)
 
 
 def score(pool: Pool, req: Request, row: Upstream) -> float:
@@ -75,23 +75,26 @@
     """
     policy = pool.policy
     prefill = uncached_tokens(pool, req, row)
-    first = prefill * policy.prefill_token_seconds
+    prefill_seconds = prefill * policy.prefill_token_seconds
     load = (row.in_flight + 1) / max(1, row.slots)
-    first *= 1 + load
+    prefill_seconds *= 1 + load
     if req.kind is ServiceKind.MODEL:
-        left = max(0, req.max_tokens - req.progress)
-        seconds = left * row.token_seconds
+        remaining_tokens = max(0, req.max_tokens - req.progress)
+        run_seconds = remaining_tokens * row.token_seconds
     else:
-        left = 0
-        seconds = row.call_seconds
-    money = row.price * (first + seconds) / max(1, row.slots)
-    late = max(0, first - policy.first_token_target)
-    risk = RECLAIM_RATE * seconds if row.reclaimable else 0.0
-    redo = prefill + risk * (req.prompt_tokens + req.progress + left / 2)
+        remaining_tokens = 0
+        run_seconds = row.call_seconds
+    cost = row.price * (prefill_seconds + run_seconds) / max(1, row.slots)
+    target_excess = max(0, prefill_seconds - policy.first_token_target)
+    reclaim_probability = RECLAIM_RATE * run_seconds if row.reclaimable else 0.0
+    recomputed = prefill + reclaim_probability * (
+        req.prompt_tokens + req.progress + remaining_tokens / 2
+    )
     return (
-        policy.cost_weight * money
-        + policy.latency_weight * (late + BATCH_SLOWDOWN * load * seconds)
-        + policy.recompute_weight * redo * policy.prefill_token_seconds
+        policy.cost_weight * cost
+        + policy.latency_weight
+        * (target_excess + BATCH_SLOWDOWN * load * run_seconds)
+        + policy.recompute_weight * recomputed * policy.prefill_token_seconds
     )
 
 
--- a/packages/spanfall-core/src/spanfall_core/selectors.py
+++ b/packages/spanfall-core/src/spanfall_core/selectors.py
@@ -19,7 +19,7 @@
 _ABSENT = re.compile(rf'!\s*(?P<key>{_WORD})')
 _EQUALITY = re.compile(rf'\s*(?P<op>==|=|!=)\s*(?P<word>{_WORD})')
 _SET = re.compile(r'\s+(?P<op>in|notin)\s*\((?P<words>[^()]*)\)')
-_WORD_ONLY = re.compile(rf'{_WORD}\Z')
+_VALUE_ONLY = re.compile(rf'{_WORD}\Z')
 
 
 @dataclass(frozen=True)
@@ -65,8 +65,8 @@
 
 
 def _skip_space(text: str, position: int) -> int:
-    found = _SPACE.match(text, position)
-    return position if found is None else found.end()
+    space = _SPACE.match(text, position)
+    return position if space is None else space.end()
 
 
 def _parse_term(text: str, position: int) -> tuple[Term, int]:
@@ -78,14 +78,14 @@
         raise SelectorError(position + 1, 'a label key')
     equality = _EQUALITY.match(text, key.end())
     if equality is not None:
-        words = frozenset((equality['word'],))
+        values = frozenset((equality['word'],))
         is_equal = equality['op'] != '!='
-        return _set_term(key['key'], words, wanted=is_equal), equality.end()
-    listed = _SET.match(text, key.end())
-    if listed is not None:
-        words = _parse_words(listed)
-        is_in = listed['op'] == 'in'
-        return _set_term(key['key'], words, wanted=is_in), listed.end()
+        return _set_term(key['key'], values, wanted=is_equal), equality.end()
+    set_match = _SET.match(text, key.end())
+    if set_match is not None:
+        values = _parse_values(set_match)
+        is_in = set_match['op'] == 'in'
+        return _set_term(key['key'], values, wanted=is_in), set_match.end()
     _check_key_end(text, key.end())
     return _present_term(key['key']), key.end()
 
@@ -96,21 +96,21 @@
         raise SelectorError(after + 1, 'an operator, a comma or the end')
 
 
-def _parse_words(listed: re.Match[str]) -> frozenset[str]:
-    column = listed.start('words')
-    words = []
-    for part in listed['words'].split(','):
-        word = part.strip()
-        if _WORD_ONLY.match(word) is None:
+def _parse_values(set_match: re.Match[str]) -> frozenset[str]:
+    column = set_match.start('words')
+    values = []
+    for item in set_match['words'].split(','):
+        value = item.strip()
+        if _VALUE_ONLY.match(value) is None:
             raise SelectorError(column + 1, 'a label value')
-        words.append(word)
-        column += len(part) + 1
-    return frozenset(words)
+        values.append(value)
+        column += len(item) + 1
+    return frozenset(values)
 
 
-def _set_term(key: str, words: frozenset[str], *, wanted: bool) -> Term:
+def _set_term(key: str, values: frozenset[str], *, wanted: bool) -> Term:
     def term(labels: Labels) -> bool:
-        return (labels.get(key) in words) is wanted
+        return (labels.get(key) in values) is wanted
 
     return term
 
--- a/packages/spanfall-core/src/spanfall_core/upstreams.py
+++ b/packages/spanfall-core/src/spanfall_core/upstreams.py
@@ -7,9 +7,9 @@
 from spanfall_core.tables import Pool, Upstream, UpstreamState
 
 #: Share of its slots that an upstream offers at the begin of slow start.
-SLOW_START_SHARE = 0.25
+SLOW_START_FRACTION = 0.25
 #: Weight of the newest sample in moving averages.
-SMOOTHING = 0.2
+SMOOTHING_FACTOR = 0.2
 
 
 def is_usable(row: Upstream, now: float) -> bool:
@@ -25,8 +25,8 @@
     age = now - row.active_since
     if not row.active_since or window <= 0 or age >= window:
         return row.slots
-    share = max(SLOW_START_SHARE, age / window)
-    return max(1, int(row.slots * share))
+    fraction = max(SLOW_START_FRACTION, age / window)
+    return max(1, int(row.slots * fraction))
 
 
 def usable_slots(pool: Pool, now: float) -> int:
@@ -65,7 +65,7 @@
 def record_success(row: Upstream, seconds: float, tokens: int) -> None:
     """Take the duration of a finished run into the averages."""
     row.failures = 0
-    row.call_seconds += SMOOTHING * (seconds - row.call_seconds)
+    row.call_seconds += SMOOTHING_FACTOR * (seconds - row.call_seconds)
     if tokens:
         sample = seconds / tokens
-        row.token_seconds += SMOOTHING * (sample - row.token_seconds)
+        row.token_seconds += SMOOTHING_FACTOR * (sample - row.token_seconds)
--- a/packages/spanfall-node/src/spanfall_node/heartbeats.py
+++ b/packages/spanfall-node/src/spanfall_node/heartbeats.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from spanfall_api.frames import Frame, Heartbeat, MemberDelta, MemberList
-from spanfall_core.membership import Record, expire, hear
+from spanfall_core.membership import Record, expire_members, record_heartbeat
 
 from spanfall_node.config_spread import ConfigSpread
 from spanfall_node.context import Context
@@ -76,8 +76,8 @@
         now = self._context.timers.now()
         record = members.table.records.get(members.data_centre)
         known = [] if record is None else list(record.members)
-        members.table.heard = dict.fromkeys(known, now)
-        hear(members.table, members.own_member(), now)
+        members.table.last_heartbeats = dict.fromkeys(known, now)
+        record_heartbeat(members.table, members.own_member(), now)
         members.table.records[
             members.data_centre
         ].delegate = self._context.node_id
@@ -86,9 +86,9 @@
 
     def _beat_as_delegate(self, now: float) -> None:
         members = self._members
-        changed = hear(members.table, members.own_member(), now)
+        changed = record_heartbeat(members.table, members.own_member(), now)
         timeout = self._context.cfg.times.member_timeout
-        gone = expire(members.table, members.data_centre, now - timeout)
+        gone = expire_members(members.table, members.data_centre, now - timeout)
         if gone:
             logger.warning('No heartbeat any more from %s', ', '.join(gone))
         if gone or changed:
@@ -132,7 +132,7 @@
         self._spread.add_follower(frame.node_id, link)
         member = member_of(frame)
         now = self._context.timers.now()
-        if hear(self._members.table, member, now):
+        if record_heartbeat(self._members.table, member, now):
             self._members.tell_changed()
         self._bring_up_to_date(link, frame)
 
--- a/packages/spanfall-node/src/spanfall_node/home.py
+++ b/packages/spanfall-node/src/spanfall_node/home.py
@@ -29,7 +29,7 @@
 from spanfall_core.reasons import RefusalReason, RunState
 from spanfall_core.reclaim import evacuate, mark_leaving
 from spanfall_core.recovery import run_failed
-from spanfall_core.routing import CHOOSERS, remember_prefix
+from spanfall_core.routing import CHOOSERS, record_prefix
 from spanfall_core.tables import Pool, UpstreamState
 
 from spanfall_node.catalog import Catalog
@@ -162,7 +162,7 @@
         held.answer.add(0, submit.pieces)
         self.held.rows[submit.request_id] = held
         if submit.upstream:
-            remember_prefix(pool, row, submit.upstream, now)
+            record_prefix(pool, row, submit.upstream, now)
         held.follow(link, submit.attempt, len(submit.pieces))
         if link.peer_id == self._context.node_id:
             self.followers.send_copy(held)
--- a/packages/spanfall-node/src/spanfall_node/members.py
+++ b/packages/spanfall-node/src/spanfall_node/members.py
@@ -10,7 +10,7 @@
     Record,
     all_members,
     find_member,
-    list_places,
+    list_home_candidates,
     make_record,
     merge_record,
 )
@@ -120,7 +120,7 @@
         if known is None:
             places = [
                 place
-                for place in list_places(self.table)
+                for place in list_home_candidates(self.table)
                 if place.node_id not in self.suspects
             ]
             known = choose_homes(service, places)
@@ -153,7 +153,7 @@
         """Choose a delegate without the store, as all nodes here would."""
         nodes = {
             place.node_id
-            for place in list_places(self.table)
+            for place in list_home_candidates(self.table)
             if place.data_centre == self.data_centre
         }
         nodes.update(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 from spanfall_core.membership import all_members
-from spanfall_core.placement import Place, choose_homes
+from spanfall_core.placement import HomeCandidate, choose_homes
 from spanfall_node.node import Node
 from spanfall_standins.faulty_store import RENEWAL, WRITE, FaultyStore
 from spanfall_standins.fleet import Fleet, run_fleet
@@ -132,7 +132,7 @@
 
 def test_homes_move_little() -> None:
     """A lost node moves only what it held (rendezvous hashing)."""
-    places = [Place(f'node-{number}', 'dc') for number in range(NODES)]
+    places = [HomeCandidate(f'node-{number}', 'dc') for number in range(NODES)]
     names = [f'service-{number}' for number in range(SERVICES)]
     before = {name: choose_homes(name, places)[0] for name in names}
     left = [place for place in places if place.node_id != 'node-7']
@@ -143,6 +143,9 @@
 
 
 def test_homes_are_in_different_data_centres() -> None:
-    places = [Place(f'node-{number}', f'dc{number % 3}') for number in range(9)]
+    places = [
+        HomeCandidate(f'node-{number}', f'dc{number % 3}')
+        for number in range(9)
+    ]
     homes = choose_homes('service', places)
     assert len({int(home.removeprefix('node-')) % 3 for home in homes}) == 3
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -69,7 +69,7 @@
         )
         put_upstream(self.pool, row, self.now)
 
-    def take(self, effects: list[Effect]) -> None:
+    def apply_effects(self, effects: list[Effect]) -> None:
         """Follow effects as a node would, and check each."""
         for effect in effects:
             match effect:
@@ -100,7 +100,7 @@
 
     def tick(self) -> None:
         """Run the pool's systems."""
-        self.take(run_tick(self.pool, self.now))
+        self.apply_effects(run_tick(self.pool, self.now))
 
     def running(self) -> list[Request]:
         """Return the running requests in a fixed order."""
@@ -132,7 +132,7 @@
             max_tokens=20 if is_model else 0,
         )
         self.admitted[req.request_id] = req
-        self.take(admit(self.pool, req, self.now))
+        self.apply_effects(admit(self.pool, req, self.now))
         self.tick()
 
     @rule(pick=choices, tokens=strategies.integers(0, 10))
@@ -160,7 +160,7 @@
             req = rows[pick % len(rows)]
             if failure not in PROVEN_NOT_RUN:
                 self.may_have_run[req.request_id] += 1
-            self.take(run_failed(self.pool, req, failure, self.now))
+            self.apply_effects(run_failed(self.pool, req, failure, self.now))
             self.tick()
 
     @rule(number=numbers, notice=strategies.sampled_from([0.0, 1.0, 30.0]))
@@ -170,18 +170,18 @@
         until = self.now + notice
         incarnation = self.pool.upstreams[name].incarnation
         if mark_leaving(self.pool, name, incarnation, until):
-            self.take(evacuate(self.pool, name, self.now))
+            self.apply_effects(evacuate(self.pool, name, self.now))
         self.tick()
 
     @rule(number=numbers)
-    def lose(self, number: int) -> None:
+    def terminate(self, number: int) -> None:
         """Let an upstream go, with all that runs on it."""
         name = f'u{number}'
         mark_gone(self.pool, name)
         for req in self.running():
             if req.upstream_id == name:
                 self.may_have_run[req.request_id] += 1
-                self.take(
+                self.apply_effects(
                     run_failed(self.pool, req, Failure.BROKEN, self.now),
                 )
         self.tick()
@@ -200,7 +200,7 @@
         self.tick()
 
     @invariant()
-    def nothing_is_lost(self) -> None:
+    def each_request_ends_once(self) -> None:
         """Each request is held or has ended, exactly once."""
         for request_id in self.admitted:
             is_gone = request_id not in self.pool.requests
