--- a/packages/spanfall-core/src/spanfall_core/admission.py
+++ b/packages/spanfall-core/src/spanfall_core/admission.py
@@ -20,7 +20,7 @@
 #: Longest Retry-After that a refusal suggests, in seconds.
 MAX_RETRY_AFTER = 30.0
 #: Retry-After where nothing better is known, in seconds.
-DEFAULT_RETRY_AFTER = 1.0
+MIN_RETRY_AFTER = 1.0
 #: Least work that a request counts for, in seconds of a slot.
 MIN_WORK_SECONDS = 0.01
 
@@ -115,7 +115,7 @@
         exceeded = check_limits(pool, workspace, req, now)
     if exceeded is not None:
         reason, wait = exceeded
-        retry_after = min(MAX_RETRY_AFTER, max(DEFAULT_RETRY_AFTER, wait))
+        retry_after = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
         return [Refuse(req.request_id, reason, retry_after=retry_after)]
     if workspace.rate and req.attempt == 1:
         workspace.bucket -= 1
--- a/packages/spanfall-core/src/spanfall_core/selectors.py
+++ b/packages/spanfall-core/src/spanfall_core/selectors.py
@@ -78,14 +78,14 @@
         raise SelectorError(position + 1, 'a label key')
     equality = _EQUALITY.match(text, key.end())
     if equality is not None:
-        values = frozenset((equality['word'],))
+        operands = frozenset((equality['word'],))
         is_equal = equality['op'] != '!='
-        return _set_term(key['key'], values, wanted=is_equal), equality.end()
+        return _set_term(key['key'], operands, wanted=is_equal), equality.end()
     set_match = _SET.match(text, key.end())
     if set_match is not None:
-        values = _parse_values(set_match)
+        operands = _parse_values(set_match)
         is_in = set_match['op'] == 'in'
-        return _set_term(key['key'], values, wanted=is_in), set_match.end()
+        return _set_term(key['key'], operands, wanted=is_in), set_match.end()
     _check_key_end(text, key.end())
     return _present_term(key['key']), key.end()
 
@@ -98,19 +98,19 @@
 
 def _parse_values(set_match: re.Match[str]) -> frozenset[str]:
     column = set_match.start('words')
-    values = []
+    label_values = []
     for item in set_match['words'].split(','):
-        value = item.strip()
-        if _VALUE_ONLY.match(value) is None:
+        label_value = item.strip()
+        if _VALUE_ONLY.match(label_value) is None:
             raise SelectorError(column + 1, 'a label value')
-        values.append(value)
+        label_values.append(label_value)
         column += len(item) + 1
-    return frozenset(values)
+    return frozenset(label_values)
 
 
-def _set_term(key: str, values: frozenset[str], *, wanted: bool) -> Term:
+def _set_term(key: str, label_values: frozenset[str], *, wanted: bool) -> Term:
     def term(labels: Labels) -> bool:
-        return (labels.get(key) in values) is wanted
+        return (labels.get(key) in label_values) is wanted
 
     return term
 
