--- a/packages/spanfall-core/src/spanfall_core/__init__.py
+++ b/packages/spanfall-core/src/spanfall_core/__init__.py
@@ -1,1 +1,1 @@
-"""Decide for spanfall: pure systems over tables, without I/O or a clock."""
+"""Implement spanfall's decisions as pure functions, without I/O or a clock."""
--- a/packages/spanfall-core/src/spanfall_core/admission.py
+++ b/packages/spanfall-core/src/spanfall_core/admission.py
@@ -1,7 +1,7 @@
-"""Decide whether a request may enter the queue of its pool.
+"""Decide whether a request is admitted to the queue of its pool.
 
-Limits are checked in the order rate, concurrency, queue, deadline, so that a
-refusal names the first limit that the caller can do something about.
+Limits are checked in the order rate, concurrency, queue length, deadline, so
+that a refusal names the first limit that the caller can act on.
 """
 
 from heapq import heappush
@@ -17,16 +17,16 @@
 )
 from spanfall_core.upstreams import usable_slots
 
-#: Longest Retry-After that a refusal suggests, in seconds.
+#: Upper bound of the Retry-After of a refusal, in seconds.
 MAX_RETRY_AFTER = 30.0
-#: Retry-After where nothing better is known, in seconds.
+#: Lower bound of the Retry-After of a refusal, in seconds.
 MIN_RETRY_AFTER = 1.0
-#: Least work that a request counts for, in seconds of a slot.
+#: Lower bound of the estimated work of a request, in slot-seconds.
 MIN_WORK_SECONDS = 0.01
 
 
 def refill_bucket(workspace: Workspace, now: float) -> None:
-    """Add the tokens that the workspace earned since the last refill."""
+    """Add the tokens accrued since the last refill to the token bucket."""
     accrued = (now - workspace.refilled_at) * workspace.rate
     workspace.bucket = min(workspace.burst, workspace.bucket + max(0, accrued))
     workspace.refilled_at = now
@@ -35,8 +35,8 @@
 def expected_wait(pool: Pool, req: Request, now: float) -> float:
     """Estimate the seconds until a request queued now is dispatched.
 
-    Its workspace gets a share of the slots by weight, among the workspaces
-    that have work queued; only work of its priority or above is ahead of it.
+    The slots are divided by weight among the workspaces with queued requests.
+    Within its workspace, only work of the same or a higher priority is ahead.
     """
     slots = usable_slots(pool, now)
     busy = sum(row.in_flight for row in pool.upstreams.values())
@@ -53,7 +53,10 @@
 
 
 def slot_share(pool: Pool, workspace: Workspace) -> float:
-    """Return the share of the slots that a workspace gets when all queue."""
+    """Return the fraction of the slots that a workspace gets by its weight.
+
+    Only the other workspaces with queued requests compete for the slots.
+    """
     others = sum(
         row.weight
         for row in pool.workspaces.values()
@@ -63,7 +66,10 @@
 
 
 def mean_run_seconds(pool: Pool) -> float:
-    """Estimate how long a request occupies a slot, from measured averages."""
+    """Estimate how long a request occupies a slot, in seconds.
+
+    The estimate is the mean of the moving averages of all upstreams.
+    """
     rows = pool.upstreams.values()
     if not rows:
         return 0.0
@@ -71,7 +77,7 @@
 
 
 def estimate_work(pool: Pool, req: Request) -> float:
-    """Estimate the seconds for which a request will occupy a slot."""
+    """Estimate how long this request will occupy a slot, in seconds."""
     rows = pool.upstreams.values()
     if req.kind is ServiceKind.APPLICATION or not rows:
         return max(MIN_WORK_SECONDS, mean_run_seconds(pool))
@@ -85,7 +91,10 @@
     req: Request,
     now: float,
 ) -> tuple[RefusalReason, float] | None:
-    """Return the first limit that the request exceeds and when to retry."""
+    """Return the first limit that the request exceeds, or None.
+
+    The second value is the number of seconds after which to retry.
+    """
     if workspace.rate:
         refill_bucket(workspace, now)
         if workspace.bucket < 1:
@@ -106,8 +115,8 @@
 def admit(pool: Pool, req: Request, now: float) -> list[Effect]:
     """Queue the request, or refuse it as not run.
 
-    A request that was accepted elsewhere and is handed over (attempt above
-    one) is never refused by a limit: it has been counted before.
+    A request that another home admitted and handed over (attempt above one)
+    is not checked against the limits: it has already been counted.
     """
     workspace = find_workspace(pool, req.workspace)
     exceeded = None
@@ -127,7 +136,7 @@
 
 
 def find_workspace(pool: Pool, name: str) -> Workspace:
-    """Return the row of a workspace, made without limits if unknown."""
+    """Return the row of a workspace; create one without limits if missing."""
     workspace = pool.workspaces.get(name)
     if workspace is None:
         workspace = Workspace(name)
@@ -136,7 +145,10 @@
 
 
 def enqueue(pool: Pool, req: Request) -> None:
-    """Put the request into its workspace's queue, by priority and deadline."""
+    """Add the request to the queue of its workspace.
+
+    The queue is ordered by priority, then by due time.
+    """
     workspace = find_workspace(pool, req.workspace)
     queue = pool.queues.setdefault(req.workspace, [])
     if not workspace.queued and not workspace.running:
@@ -158,7 +170,7 @@
 
 
 def record_dequeued(pool: Pool, req: Request) -> None:
-    """Take a request out of the counts of its queue."""
+    """Subtract a request from the counts of its queue."""
     workspace = pool.workspaces[req.workspace]
     workspace.queued -= 1
     remaining_work = workspace.queued_work[req.priority] - req.work
@@ -169,10 +181,10 @@
 
 
 def due_time(req: Request) -> float:
-    """Return when a queued request is refused.
+    """Return the time at which a request is refused if it is still queued.
 
-    The deadline bounds the begin of an answer; a stream that has begun is
-    bounded only by the longest life of a request.
+    The deadline applies to the start of the response. A stream that has
+    started is limited only by the maximum lifetime of a request.
     """
     if req.progress or req.deadline is None:
         return req.expires_at
@@ -180,7 +192,7 @@
 
 
 def expected_tokens(req: Request) -> int:
-    """Return how many tokens the request may still produce."""
+    """Return the maximum number of tokens still to be generated."""
     if req.kind is ServiceKind.APPLICATION:
         return 0
     return max(0, req.max_tokens - req.progress)
--- a/packages/spanfall-core/src/spanfall_core/claims.py
+++ b/packages/spanfall-core/src/spanfall_core/claims.py
@@ -1,8 +1,9 @@
-"""Decide who may run a keyed request, from the claim log of its service.
+"""Decide which request may run under an idempotency key.
 
-Claims are appended in batches under the next sequence number, each number
-created once in the key-value service. A holder that was paused finds its
-number taken, reads on, and learns what its successor claimed.
+The claim log of a service holds batches of claims. Each batch is written under
+the next sequence number, which can be created only once in the key-value
+service. A home that was paused finds its number taken, reads the later
+batches and finds the claims of its successor there.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +12,7 @@
 
 @unique
 class Verdict(StrEnum):
-    """Give the result of asking for a claim."""
+    """List the results of a claim attempt."""
 
     GRANTED = 'granted'
     TAKEN = 'taken'
@@ -21,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Give one request the right to run under a key; ``at`` is epoch time."""
+    """Grant one request the right to run under an idempotency key.
+
+    ``at`` is the time of the claim in seconds since the epoch.
+    """
 
     key: str
     request_id: str
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Hold one entry of the log; the nonce tells its writer."""
+    """Hold one entry of the log; the nonce identifies its writer."""
 
     sequence: int
     nonce: str
@@ -39,7 +43,11 @@
 
 @dataclass(slots=True)
 class ClaimLog:
-    """Hold what is known of the claim log of one service."""
+    """Hold the local copy of the claim log of one service.
+
+    ``newest_times`` maps each sequence number to the time of the newest claim
+    in its batch.
+    """
 
     next_sequence: int = 0
     loaded: bool = False
@@ -49,7 +57,7 @@
 
 
 def merge_batch(log: ClaimLog, batch: Batch) -> None:
-    """Take an entry of the log; the first claim of a key counts."""
+    """Apply an entry of the log; the first claim of a key wins."""
     if batch.sequence < log.next_sequence:
         return
     for claim in batch.claims:
@@ -60,10 +68,10 @@
 
 
 def check_claim(log: ClaimLog, claim: Claim) -> Verdict:
-    """Tell whether the key is free, ours to run, or taken.
+    """Return TAKEN if the key is claimed in the log or pending, else PENDING.
 
-    A key that is in the log for the same request was claimed by an earlier
-    run of it, which may have reached an upstream: it counts as taken.
+    If the log has a claim of the key by the same request, an earlier run of
+    it made that claim and may have reached an upstream: the key is taken.
     """
     if claim.key in log.claims:
         return Verdict.TAKEN
@@ -73,9 +81,9 @@
 
 
 def expire_claims(log: ClaimLog, before: float) -> list[int]:
-    """Forget claims older than a time; return the entries to delete.
+    """Remove the claims made before a time; return the log entries to delete.
 
-    The last entry always stays, so that sequence numbers never restart.
+    The last entry is always kept, so that sequence numbers never restart.
     """
     stale = [key for key, claim in log.claims.items() if claim.at < before]
     for key in stale:
--- a/packages/spanfall-core/src/spanfall_core/configuration.py
+++ b/packages/spanfall-core/src/spanfall_core/configuration.py
@@ -1,8 +1,8 @@
-"""Keep the configuration as a sequence of accepted changes.
+"""Maintain the configuration as a sequence of accepted changes.
 
 A revision is the number of a change in the log of the platform's key-value
-service. A state applies exactly the next revision, whole or not at all, and
-so never reverts.
+service. A state applies only the change with the next revision, and applies
+it atomically, so it never reverts.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,7 @@
 from typing import Any
 
 Document = Mapping[str, Any]
-#: Kind and name of an object.
+#: Kind and name that identify an object.
 ObjectId = tuple[str, str]
 
 
@@ -18,8 +18,8 @@
 class Edit:
     """Put an object, or delete it if there is no document.
 
-    ``expected`` is the revision at which the editor saw the object, zero for
-    "must not exist", or None for "whatever there is".
+    ``expected`` is the revision of the object that the edit is based on, zero
+    if the object must not exist, or None to skip this check.
     """
 
     kind: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Hold the edits accepted under one revision, and who asked for them."""
+    """Hold the edits accepted under one revision, and their author."""
 
     revision: int
     operation_id: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """Hold an object and the revision that changed it last."""
+    """Hold an object and the revision of its last change."""
 
     revision: int
     document: Document
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Tell that an object changed since the editor saw it."""
+    """Describe an edit whose expected revision is out of date."""
 
     kind: str
     name: str
@@ -57,13 +57,17 @@
     document: Document | None
 
 
-#: Operation ids remembered, so that a lost answer can be settled.
+#: Maximum number of retained operation ids. They show whether an operation
+#: whose response was lost has been applied.
 MAX_OPERATIONS = 4096
 
 
 @dataclass(slots=True)
 class ConfigState:
-    """Hold all objects as of a revision."""
+    """Hold all objects at a revision.
+
+    ``operations`` maps the ids of recent operations to their revisions.
+    """
 
     revision: int = 0
     objects: dict[ObjectId, StoredObject] = field(default_factory=dict)
@@ -95,7 +99,7 @@
     state: ConfigState,
     edits: Iterable[Edit],
 ) -> list[Conflict]:
-    """Return the edits whose object is not as their editor saw it."""
+    """Return the edits whose object is not at the expected revision."""
     conflicts = []
     for edit in edits:
         stored = state.objects.get((edit.kind, edit.name))
@@ -110,7 +114,7 @@
 
 
 def replace_state(state: ConfigState, newer: ConfigState) -> bool:
-    """Take a whole newer state; return False if it is not newer."""
+    """Replace the state by a newer one; return False if it is not newer."""
     if newer.revision <= state.revision:
         return False
     state.revision = newer.revision
--- a/packages/spanfall-core/src/spanfall_core/dispatch.py
+++ b/packages/spanfall-core/src/spanfall_core/dispatch.py
@@ -1,8 +1,9 @@
-"""Take requests from the queues to upstreams, fairly between workspaces.
+"""Dispatch queued requests to upstreams, fairly between workspaces.
 
-Start-time fair queueing: each workspace has a virtual time that grows by the
-cost of its dispatches over its weight; the lowest one is served next (Goyal,
-Vin and Cheng, 1996).
+The scheduler uses start-time fair queueing: each dispatch advances the virtual
+time of its workspace by the work of the request divided by the weight of the
+workspace, and the workspace with the lowest virtual time is served next
+(Goyal, Vin and Cheng, 1996).
 """
 
 from heapq import heappop
@@ -31,7 +32,7 @@
     now: float,
     choose: Chooser = choose_by_score,
 ) -> list[Effect]:
-    """Refuse what is late, then dispatch while there are free slots."""
+    """Refuse overdue requests, then dispatch while there are free slots."""
     effects: list[Effect] = list(refuse_expired(pool, now))
     while pool.queued:
         workspace = next_workspace(pool)
@@ -45,7 +46,7 @@
 
 
 def refuse_expired(pool: Pool, now: float) -> list[Refuse]:
-    """Refuse the queued requests whose deadline has passed."""
+    """Refuse the queued requests whose due time has passed."""
     refusals = []
     while pool.due and pool.due[0][0] <= now:
         _, sequence, request_id = heappop(pool.due)
@@ -62,7 +63,7 @@
     sequence: int,
     request_id: str,
 ) -> Request | None:
-    """Return the request of a queue entry, or None if it is out of date."""
+    """Return the request of a queue entry, or None if the entry is stale."""
     req = pool.requests.get(request_id)
     if req is None or req.sequence != sequence:
         return None
@@ -70,20 +71,29 @@
 
 
 def refuse_queued(req: Request, reason: RefusalReason) -> Refuse:
-    """Refuse a queued request, saying whether an earlier run may have run."""
+    """Return the refusal of a queued request.
+
+    Its run state tells whether an earlier attempt may have run.
+    """
     if req.may_have_run or req.progress:
         return Refuse(req.request_id, reason, RunState.UNKNOWN)
     return Refuse(req.request_id, reason, RunState.NOT_RUN, 1)
 
 
 def remove_queued(pool: Pool, req: Request) -> None:
-    """Take a request out of its queue; its entries are skipped later."""
+    """Mark a queued request as done.
+
+    Its heap entries stay and are skipped when they are reached.
+    """
     req.state = RequestState.DONE
     record_dequeued(pool, req)
 
 
 def next_workspace(pool: Pool) -> Workspace | None:
-    """Return the workspace to serve next, or None if all are at a limit."""
+    """Return the workspace to serve next.
+
+    Return None if no workspace with queued requests may start another one.
+    """
     ready = [
         pool.workspaces[name]
         for name in pool.queues
@@ -95,7 +105,7 @@
 
 
 def has_capacity(workspace: Workspace) -> bool:
-    """Tell whether the workspace may have one more request running."""
+    """Return whether the workspace may run one more request."""
     limit = workspace.max_running
     return not limit or workspace.running < limit
 
@@ -106,7 +116,7 @@
     now: float,
     choose: Chooser,
 ) -> Dispatch | None:
-    """Dispatch the first request of the workspace if a slot is free."""
+    """Dispatch the next request of the workspace if a slot is free."""
     req = first_queued(pool, workspace.name)
     rows = free_upstreams(pool, req, now)
     if not rows:
@@ -119,7 +129,10 @@
 
 
 def first_queued(pool: Pool, workspace: str) -> Request:
-    """Return the first request of a queue that has one."""
+    """Return the next queued request of a workspace that has one.
+
+    Stale entries at the head of the queue are removed.
+    """
     queue = pool.queues[workspace]
     while True:
         _, _, sequence, request_id = queue[0]
@@ -130,7 +143,7 @@
 
 
 def charge(pool: Pool, workspace: Workspace, req: Request) -> None:
-    """Advance the virtual time of the workspace by the work it takes."""
+    """Charge the work of a request to the virtual time of its workspace."""
     pool.virtual_time = max(pool.virtual_time, workspace.virtual_time)
     workspace.virtual_time += req.work / workspace.weight
     workspace.running += 1
@@ -142,7 +155,7 @@
     row: Upstream,
     now: float,
 ) -> Dispatch:
-    """Occupy a slot of the upstream and return the dispatch."""
+    """Occupy a slot of the upstream and return the dispatch effect."""
     row.in_flight += 1
     req.upstream_id = row.upstream_id
     req.run += 1
@@ -155,14 +168,18 @@
 
 
 def required_right(req: Request) -> Right:
-    """Return what proves that no other process runs the request."""
+    """Return what must be acquired before the request may run.
+
+    It guarantees that no other process runs the same request. Idempotent
+    requests need no such guarantee.
+    """
     if req.idempotent:
         return Right.NONE
     return Right.CLAIM if req.key else Right.PERMIT
 
 
 def release(pool: Pool, req: Request) -> None:
-    """Free the slot that the run of the request occupies."""
+    """Free the slot that the request occupies, if it occupies one."""
     if req.state not in {RequestState.RUNNING, RequestState.AWAITING_RIGHT}:
         return
     row = pool.upstreams.get(req.upstream_id)
@@ -173,14 +190,14 @@
 
 
 def finish(pool: Pool, req: Request) -> None:
-    """Forget a request that has its final outcome."""
+    """Remove a request that has its final outcome from the pool."""
     release(pool, req)
     req.state = RequestState.DONE
     pool.requests.pop(req.request_id, None)
 
 
 def complete(pool: Pool, req: Request, now: float) -> None:
-    """Take a fully answered request out of the pool."""
+    """Remove a request whose response is complete, and record its duration."""
     row = pool.upstreams.get(req.upstream_id)
     if row is not None:
         record_success(row, now - req.dispatched_at, req.progress)
--- a/packages/spanfall-core/src/spanfall_core/effects.py
+++ b/packages/spanfall-core/src/spanfall_core/effects.py
@@ -1,6 +1,7 @@
-"""Define what a system asks its node to do.
+"""Define the effects that the core asks its node to carry out.
 
-Systems return lists of these values; they never perform I/O themselves.
+The functions of the core return lists of these values and never perform I/O
+themselves.
 """
 
 from dataclasses import dataclass
@@ -11,7 +12,10 @@
 
 @unique
 class Right(StrEnum):
-    """Say which right to run a request needs before its dispatch."""
+    """List what a request must acquire before its dispatch is sent.
+
+    A permit or a claim gives this home the exclusive right to run it.
+    """
 
     NONE = 'none'
     PERMIT = 'permit'
@@ -20,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send a request to an upstream, once its right to run is granted.
+    """Send a request to an upstream once its right to run is granted.
 
     ``run`` numbers the dispatches of the request at this home, from one.
     """
@@ -33,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End a request without an answer; ``retry_after`` is in seconds."""
+    """End a request with a refusal; ``retry_after`` is in seconds."""
 
     request_id: str
     reason: RefusalReason
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Stop the run of a request at an upstream, keeping the request."""
+    """Stop the run of a request at an upstream without ending the request."""
 
     request_id: str
     upstream_id: str
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Export the state of a run from one upstream and import it at another."""
+    """Move the KV cache of a run from one upstream to another."""
 
     request_id: str
     source_id: str
@@ -62,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Retried:
-    """Report that a request returned to the queue."""
+    """Report that a request was requeued."""
 
     request_id: str
     reason: RetryReason
--- a/packages/spanfall-core/src/spanfall_core/membership.py
+++ b/packages/spanfall-core/src/spanfall_core/membership.py
@@ -1,7 +1,7 @@
-"""Keep the member list, one record a data centre, each with a version.
+"""Maintain the member list as one versioned record per data centre.
 
-Inside a data centre nodes send heartbeats to their delegate, which alone
-changes the record; the others take whatever record has a higher version.
+The nodes of a data centre send heartbeats to its delegate, the only node that
+changes the record. All other nodes adopt any record with a higher version.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Describe a node; a higher incarnation is a later start of it."""
+    """Describe a node; each start of the node has a higher incarnation."""
 
     node_id: str
     incarnation: int
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """Hold the members of one data centre, as its delegate told them."""
+    """Hold the members of one data centre, as published by its delegate."""
 
     version: int = 0
     delegate: str = ''
@@ -32,9 +32,11 @@
 
 @dataclass(slots=True)
 class MemberTable:
-    """Hold the records of all data centres, and heartbeats of the own one.
+    """Hold the records of all data centres.
 
-    ``revision`` counts the changes of the table, for caches built on it.
+    ``last_heartbeats`` has the time of the last heartbeat of each member of
+    the local data centre. ``revision`` counts the changes of the table, for
+    caches derived from it; ``homes`` is such a cache.
     """
 
     records: dict[str, Record] = field(default_factory=dict)
@@ -48,7 +50,7 @@
     delegate: str,
     members: Iterable[Member],
 ) -> Record:
-    """Return a record of the members."""
+    """Return a record that holds the members by node id."""
     rows = {member.node_id: member for member in members}
     return Record(version, delegate, rows)
 
@@ -58,7 +60,7 @@
     data_centre: str,
     newer: Record,
 ) -> bool:
-    """Take a record if it is newer; return whether it was."""
+    """Replace a record if the version is newer; return whether it was."""
     known = table.records.get(data_centre)
     if known is not None and newer.version <= known.version:
         return False
@@ -68,13 +70,13 @@
 
 
 def record_change(table: MemberTable) -> None:
-    """Count a change and drop what was computed from the old table."""
+    """Increment the revision and clear the cached homes."""
     table.revision += 1
     table.homes.clear()
 
 
 def record_heartbeat(table: MemberTable, member: Member, now: float) -> bool:
-    """Note a heartbeat at the delegate; return whether the list changed."""
+    """Record a heartbeat at the delegate; return whether the list changed."""
     table.last_heartbeats[member.node_id] = now
     record = table.records.setdefault(member.data_centre, Record())
     known = record.members.get(member.node_id)
@@ -93,7 +95,10 @@
     data_centre: str,
     before: float,
 ) -> list[str]:
-    """Remove members not heard since a time; return their ids."""
+    """Remove the members without a heartbeat since a time.
+
+    Return the ids of the removed members.
+    """
     record = table.records.setdefault(data_centre, Record())
     silent = [
         node_id
@@ -119,7 +124,7 @@
 
 
 def find_member(table: MemberTable, node_id: str) -> Member | None:
-    """Return the member with an id, or None."""
+    """Return the member with this id, or None."""
     found = (
         record.members[node_id]
         for record in table.records.values()
@@ -129,7 +134,7 @@
 
 
 def list_home_candidates(table: MemberTable) -> list[HomeCandidate]:
-    """Return the nodes that may be homes: all but the draining ones."""
+    """Return the nodes that are eligible as homes: all but draining ones."""
     return [
         HomeCandidate(member.node_id, member.data_centre)
         for member in all_members(table)
--- a/packages/spanfall-core/src/spanfall_core/placement.py
+++ b/packages/spanfall-core/src/spanfall_core/placement.py
@@ -1,7 +1,7 @@
 """Choose the homes of a service by rendezvous hashing.
 
-Each node computes the same order from the same member list, and a node that
-joins or leaves moves only the services it gains or held (Thaler and
+All nodes with the same member list compute the same order. A node that joins
+or leaves moves only the services that it gains or loses (Thaler and
 Ravishankar, 1998).
 """
 
@@ -11,13 +11,13 @@
 
 from xxhash import xxh3_64_intdigest
 
-#: Homes of one service: one acts, the others stand by (DESIGN, Processes).
+#: Homes per service: one active, the others standby (DESIGN, Processes).
 HOMES_PER_SERVICE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class HomeCandidate:
-    """Name a node and its data centre as a candidate for a home."""
+    """Describe a node that is eligible as a home, with its data centre."""
 
     node_id: str
     data_centre: str
@@ -26,7 +26,7 @@
 def rank_candidates(
     service: str, candidates: Iterable[HomeCandidate]
 ) -> list[HomeCandidate]:
-    """Order the places by their rendezvous score for the service."""
+    """Sort the candidates by their rendezvous score for the service."""
     return sorted(
         candidates,
         key=lambda candidate: (
@@ -42,9 +42,10 @@
     candidates: Iterable[HomeCandidate],
     count: int = HOMES_PER_SERVICE,
 ) -> tuple[str, ...]:
-    """Return the node ids of the homes, acting home first.
+    """Return the node ids of the homes, the active home first.
 
-    Later homes come from data centres not used yet while there are any.
+    Each standby home is in a data centre that has no home of the service yet,
+    as long as there is one.
     """
     ranked = rank_candidates(service, candidates)
     seen: set[str] = set()
--- a/packages/spanfall-core/src/spanfall_core/reasons.py
+++ b/packages/spanfall-core/src/spanfall_core/reasons.py
@@ -1,7 +1,7 @@
-"""Enumerate why a request is refused, retried or a frame is dropped.
+"""Enumerate the reasons for refusals, retries and dropped frames.
 
-The values are metric labels and the ``reason`` member of problem documents,
-so a value is never renamed.
+The values appear as metric labels and as the ``reason`` member of problem
+documents, so they must not be renamed.
 """
 
 from enum import StrEnum, unique
@@ -9,7 +9,7 @@
 
 @unique
 class RefusalReason(StrEnum):
-    """Name each cause for which a caller gets no answer."""
+    """List the reasons for which a request is refused."""
 
     BAD_REQUEST = 'bad-request'
     BODY_TOO_LARGE = 'body-too-large'
@@ -23,8 +23,8 @@
     QUEUE_FULL = 'queue-full'
     DEADLINE = 'deadline'
     NO_UPSTREAM = 'no-upstream'
-    #: All that could serve name limits that are used up for the moment, or asked
-    #: for a back-off.
+    #: Every eligible upstream has reached the rate limit it announced, or has
+    #: asked for a backoff.
     UPSTREAMS_LIMITED = 'upstreams-limited'
     NO_HOME = 'no-home'
     NODE_DRAINING = 'node-draining'
@@ -35,9 +35,10 @@
     RETRIES_EXHAUSTED = 'retries-exhausted'
     UPSTREAM_FAILED = 'upstream-failed'
     OUTCOME_UNKNOWN = 'outcome-unknown'
-    #: Upstreams ended each time that they ran it.
+    #: Each upstream that ran the request crashed.
     ENDS_UPSTREAMS = 'ends-upstreams'
-    #: Two upstreams ended while they ran it, and another such one is tried.
+    #: Two upstreams crashed while they ran the request, and another such
+    #: request is being tried.
     TRIED_LATER = 'tried-later'
     CANCELLED = 'cancelled'
     REVISION_CONFLICT = 'revision-conflict'
@@ -48,7 +49,7 @@
 
 @unique
 class RetryReason(StrEnum):
-    """Name each cause for which a request is sent again."""
+    """List the reasons for which a request is retried."""
 
     CONNECT_FAILED = 'connect-failed'
     UPSTREAM_REFUSED = 'upstream-refused'
@@ -63,7 +64,7 @@
 
 @unique
 class DropReason(StrEnum):
-    """Name each cause for which a frame between nodes is dropped."""
+    """List the reasons for which a frame between nodes is dropped."""
 
     UNKNOWN_REQUEST = 'unknown-request'
     OLD_ATTEMPT = 'old-attempt'
@@ -74,7 +75,7 @@
 
 @unique
 class RunState(StrEnum):
-    """State whether a refused request may have run at an upstream."""
+    """Tell whether a refused request may have run at an upstream."""
 
     NOT_RUN = 'not-run'
     UNKNOWN = 'unknown'
--- a/packages/spanfall-core/src/spanfall_core/reclaim.py
+++ b/packages/spanfall-core/src/spanfall_core/reclaim.py
@@ -1,8 +1,9 @@
-"""Choose what to do with the streams of an upstream that leaves.
+"""Decide what happens to the streams of an upstream that is leaving.
 
-For each stream the ways are: finish in place, move its KV cache to another
-upstream, or resume elsewhere from the prompt and the tokens so far. The
-cheapest by the weights of the deployment is taken.
+A stream can finish in place, move with its KV cache to another upstream, or
+resume elsewhere from the prompt and the tokens generated so far. A stream that
+can't finish in time takes the cheaper of the other two, by the weights of the
+policy.
 """
 
 from dataclasses import dataclass
@@ -28,13 +29,14 @@
     UpstreamState,
 )
 
-#: Part of the notice kept free, so that a stream ends before the host does.
+#: Margin before the end of the notice, in seconds, so that a stream ends
+#: before its host does.
 SAFETY_MARGIN_SECONDS = 0.5
 
 
 @unique
 class EvacuationAction(StrEnum):
-    """Name the ways to treat a stream of a leaving upstream."""
+    """List the actions for a stream of a leaving upstream."""
 
     FINISH = 'finish'
     MOVE = 'move'
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationDecision:
-    """Hold the way chosen for one stream and its target, if it moves."""
+    """Hold the action for one stream, and the target upstream of a move."""
 
     action: EvacuationAction
     target: Upstream | None = None
@@ -55,7 +57,11 @@
     incarnation: int,
     leaves_at: float,
 ) -> bool:
-    """Stop new work to an upstream; return whether this was news."""
+    """Mark an upstream as leaving; return whether the notice was new.
+
+    A notice for an older incarnation is ignored. If the upstream is no longer
+    active, the earlier of the two end times is kept.
+    """
     row = pool.upstreams.get(upstream_id)
     if row is None or incarnation < row.incarnation:
         return False
@@ -69,7 +75,7 @@
 
 
 def evacuate(pool: Pool, upstream_id: str, now: float) -> list[Effect]:
-    """Return the effects that save the streams of a leaving upstream."""
+    """Return the effects that evacuate the streams of a leaving upstream."""
     row = pool.upstreams[upstream_id]
     runs = [
         req
@@ -89,7 +95,7 @@
 
 
 def remaining_seconds(req: Request, row: Upstream, now: float) -> float:
-    """Estimate how long the run needs to end on its upstream."""
+    """Estimate the seconds until the run completes on its upstream."""
     if req.kind is ServiceKind.APPLICATION:
         return max(0, row.call_seconds - (now - req.dispatched_at))
     return max(0, req.max_tokens - req.progress) * row.token_seconds
@@ -101,10 +107,10 @@
     row: Upstream,
     now: float,
 ) -> EvacuationDecision:
-    """Choose the cheapest way that keeps the request whole.
+    """Choose the cheapest action that loses no part of the response.
 
-    Applications have no state to move: their calls finish in place, and
-    what the end of the host cuts short is decided by recovery.
+    Applications have no state to move: their calls finish in place, and the
+    recovery module handles those that the end of the host interrupts.
     """
     until = float('inf') if row.leaves_at is None else row.leaves_at
     seconds_left = until - now - SAFETY_MARGIN_SECONDS
@@ -138,7 +144,7 @@
     decision: EvacuationDecision,
     now: float,
 ) -> list[Effect]:
-    """Change the tables as chosen and return the effects."""
+    """Update the pool for the decision and return the effects."""
     if decision.action is EvacuationAction.FINISH:
         return []
     if decision.action is EvacuationAction.RESUME or decision.target is None:
@@ -147,7 +153,7 @@
 
 
 def resume_elsewhere(pool: Pool, req: Request) -> list[Effect]:
-    """Stop the run and queue the rest of the request."""
+    """Stop the run and requeue the request to resume from its progress."""
     stop = Stop(req.request_id, req.upstream_id, req.run)
     req.may_have_run = True
     return [stop, requeue(pool, req, RetryReason.UPSTREAM_LEAVING)]
@@ -159,7 +165,7 @@
     target: Upstream,
     now: float,
 ) -> Move:
-    """Occupy a slot of the target and release the one of the source."""
+    """Move a run to the target: occupy a slot there, free the source slot."""
     source_id = req.upstream_id
     req.may_have_run = True
     release(pool, req)
@@ -174,7 +180,7 @@
 
 
 def mark_gone(pool: Pool, upstream_id: str) -> None:
-    """Record that the host is gone, with its cache."""
+    """Record that an upstream and its prefix cache are gone."""
     row = pool.upstreams.get(upstream_id)
     if row is not None:
         row.state = UpstreamState.GONE
--- a/packages/spanfall-core/src/spanfall_core/recovery.py
+++ b/packages/spanfall-core/src/spanfall_core/recovery.py
@@ -1,8 +1,8 @@
-"""Decide what follows a failed run: retry, resume, or a final refusal.
+"""Decide what follows a failed run: a retry, a resume or a final refusal.
 
-A request that is not idempotent goes back to the queue only if it is proven
-that no byte of it reached an upstream, or that the upstream refused it before
-running it. All other failures of such a request have an unknown outcome.
+A request that is not idempotent is requeued only if no byte of it reached an
+upstream, or if the upstream refused it before running it. After any other
+failure the outcome of such a request is unknown.
 """
 
 from enum import StrEnum, unique
@@ -14,13 +14,13 @@
 from spanfall_core.tables import Pool, Request, UpstreamState
 from spanfall_core.upstreams import record_failure
 
-#: Retry-After of a request whose retries are used up, in seconds.
+#: Retry-After of a request that has exhausted its retries, in seconds.
 EXHAUSTED_RETRY_AFTER = 2.0
 
 
 @unique
 class Failure(StrEnum):
-    """Name what went wrong with a run, by what it proves."""
+    """Classify the failure of a run by whether the request may have run."""
 
     CONNECT = 'connect'
     REFUSED = 'refused'
@@ -30,7 +30,7 @@
     LEAVING = 'leaving'
 
 
-#: Failures which prove that the request did not run.
+#: Failures that prove that the request did not run.
 PROVEN_NOT_RUN = frozenset((Failure.CONNECT, Failure.REFUSED))
 
 RETRY_REASONS = {
@@ -42,7 +42,7 @@
     Failure.LEAVING: RetryReason.UPSTREAM_LEAVING,
 }
 
-#: Failures that say nothing bad of the upstream itself.
+#: Failures that don't count towards the ejection of the upstream.
 NOT_UPSTREAM_FAULTS = frozenset((Failure.LEAVING, Failure.REFUSED))
 
 
@@ -52,7 +52,7 @@
     failure: Failure,
     now: float,
 ) -> list[Effect]:
-    """Return the request to the queue, or end it with a typed refusal."""
+    """Requeue the request, or end it with a refusal."""
     row = pool.upstreams.get(req.upstream_id)
     if row is not None and failure not in NOT_UPSTREAM_FAULTS:
         record_failure(pool, row, now)
@@ -72,9 +72,10 @@
 
 
 def consume_retry(pool: Pool, req: Request, failure: Failure) -> bool:
-    """Tell whether the request and the pool have a retry left.
+    """Consume a retry of the request and the pool; return whether it may retry.
 
-    Leaving upstreams are the platform's doing and never cost a retry.
+    Upstreams that leave are caused by the platform, so their failures
+    consume no retry. A request with progress may retry without pool credit.
     """
     if failure is Failure.LEAVING:
         return True
@@ -88,7 +89,7 @@
 
 
 def refuse_exhausted(req: Request) -> Refuse:
-    """Refuse a request that has used up its retries."""
+    """Return the refusal of a request that has exhausted its retries."""
     run_state = RunState.UNKNOWN if req.may_have_run else RunState.NOT_RUN
     return Refuse(
         req.request_id,
@@ -99,7 +100,7 @@
 
 
 def requeue(pool: Pool, req: Request, reason: RetryReason) -> Retried:
-    """Put the request back into its queue, away from the failed upstream."""
+    """Return the request to its queue, avoiding the failed upstream."""
     release(pool, req)
     req.avoid.add(req.upstream_id)
     enqueue(pool, req)
--- a/packages/spanfall-core/src/spanfall_core/routing.py
+++ b/packages/spanfall-core/src/spanfall_core/routing.py
@@ -1,7 +1,8 @@
 """Choose the upstream of a request by cost, latency and recomputed tokens.
 
-A policy is a function from a pool, a request and the usable upstreams to one
-of them; the baselines of the bench are such functions, too.
+A routing policy is a function that takes a pool, a request and the candidate
+upstreams and returns one of them. The baselines of the benchmark are such
+functions, too.
 """
 
 from collections.abc import Callable, Sequence
@@ -9,23 +10,26 @@
 from spanfall_core.tables import Pool, Request, ServiceKind, Upstream
 from spanfall_core.upstreams import open_slots
 
-#: Tokens of prompt in one block of the prefix index.
+#: Prompt tokens per block of the prefix cache index.
 BLOCK_TOKENS = 64
-#: Most blocks of (prefix, upstream) kept for one service.
+#: Maximum number of (block, upstream) entries in the index of one service.
 MAX_PREFIX_ENTRIES = 50_000
-#: Chance a second that a reclaimable host is taken, assumed for scoring:
-#: once in two hours.
+#: Assumed probability per second that a reclaimable host is reclaimed, used
+#: for scoring: once in two hours.
 RECLAIM_RATE = 1 / 7200
 
-#: Share by which a full batch slows each of its streams down, assumed for
-#: engines that batch continuously (docs/PERFORMANCE.md).
+#: Assumed fraction by which a full batch slows down each of its streams, for
+#: engines with continuous batching (docs/PERFORMANCE.md).
 BATCH_SLOWDOWN = 0.1
 
 Chooser = Callable[[Pool, Request, Sequence[Upstream]], Upstream]
 
 
 def cached_tokens(pool: Pool, req: Request, upstream_id: str) -> int:
-    """Return how many prompt tokens the upstream has cached, as we know."""
+    """Return how many prompt tokens the upstream has cached.
+
+    The count comes from the prefix index of this home.
+    """
     if 'prefix' in pool.policy.disabled:
         return 0
     count = 0
@@ -42,7 +46,10 @@
     upstream_id: str,
     now: float,
 ) -> None:
-    """Note that an upstream now caches the prompt of a request."""
+    """Record that an upstream now caches the prompt of a request.
+
+    The least recently used entries are evicted beyond MAX_PREFIX_ENTRIES.
+    """
     for block in req.prefix:
         entry = (block, upstream_id)
         pool.prefixes[entry] = now
@@ -52,14 +59,14 @@
 
 
 def drop_prefixes(pool: Pool, upstream_id: str) -> None:
-    """Drop all prefixes of an upstream that is gone or lost its cache."""
+    """Drop all prefixes of an upstream that is gone or has lost its cache."""
     stale = [entry for entry in pool.prefixes if entry[1] == upstream_id]
     for entry in stale:
         pool.prefixes.pop(entry)
 
 
 def uncached_tokens(pool: Pool, req: Request, row: Upstream) -> int:
-    """Return the tokens that the upstream must compute before it decodes."""
+    """Return the number of tokens to prefill on the upstream before decode."""
     if req.kind is ServiceKind.APPLICATION:
         return 0
     cached = cached_tokens(pool, req, row.upstream_id)
@@ -67,11 +74,12 @@
 
 
 def score(pool: Pool, req: Request, row: Upstream) -> float:
-    """Return the expected price of running the request there; low is good.
+    """Return the expected cost of running the request there; lower is better.
 
-    The three terms are money (price a second of a slot), seconds beyond the
-    first-token target, and tokens that must be computed again, now or after
-    a reclaim, each with the weight of the deployment.
+    The three terms, each multiplied by its weight in the policy, are the
+    price of the occupied slot, latency (prefill time beyond the first-token
+    target plus the slowdown by the batch), and the tokens to be computed,
+    now or again after a reclaim.
     """
     policy = pool.policy
     prefill = uncached_tokens(pool, req, row)
@@ -103,7 +111,7 @@
     req: Request,
     rows: Sequence[Upstream],
 ) -> Upstream:
-    """Return the upstream with the lowest expected price."""
+    """Return the upstream with the lowest score."""
     return min(rows, key=lambda row: (score(pool, req, row), row.upstream_id))
 
 
@@ -121,11 +129,11 @@
     req: Request,
     rows: Sequence[Upstream],
 ) -> Upstream:
-    """Return the upstreams in turn (baseline)."""
+    """Return each upstream in turn (baseline)."""
     return rows[pool.sequence % len(rows)]
 
 
-#: Routing policies by the name that settings use.
+#: Routing policies by their name in the settings.
 CHOOSERS: dict[str, Chooser] = {
     'score': choose_by_score,
     'least-reported': choose_least_reported,
@@ -136,8 +144,8 @@
 def free_upstreams(pool: Pool, req: Request, now: float) -> list[Upstream]:
     """Return the upstreams with a free slot, without those to avoid.
 
-    If only upstreams to avoid are usable, they are returned: one more try
-    there is better than no try.
+    If all of them are to be avoided, return them all: another attempt there
+    is better than none.
     """
     free = [
         row
--- a/packages/spanfall-core/src/spanfall_core/selectors.py
+++ b/packages/spanfall-core/src/spanfall_core/selectors.py
@@ -1,6 +1,6 @@
 """Parse and match label selectors.
 
-Terms are joined by commas and must all hold: ``key=value``, ``key!=value``,
+Terms are separated by commas and must all match: ``key=value``, ``key!=value``,
 ``key in (a, b)``, ``key notin (a, b)``, ``key`` (exists), ``!key`` (does not
 exist). An empty selector matches everything. ``!=`` and ``notin`` also match
 objects without the key.
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True)
 class SelectorError(Exception):
-    """Tell where a selector cannot be parsed; columns count from one."""
+    """Report where a selector cannot be parsed; columns start at one."""
 
     column: int
     expected: str
 
     def __str__(self) -> str:
-        """Return the place and what was expected there."""
+        """Return the column and what was expected there."""
         return f'column {self.column}: expected {self.expected}'
 
 
@@ -42,7 +42,7 @@
     terms: tuple[Term, ...]
 
     def matches(self, labels: Labels) -> bool:
-        """Tell whether all terms hold for the labels."""
+        """Return whether the labels match all terms."""
         return all(term(labels) for term in self.terms)
 
 
--- a/packages/spanfall-core/src/spanfall_core/tables.py
+++ b/packages/spanfall-core/src/spanfall_core/tables.py
@@ -1,8 +1,8 @@
-"""Hold the rows that the systems of a home read and write.
+"""Define the state that a home keeps for each of its services.
 
-Times are seconds of the timer service; sizes are bytes unless named tokens.
-A pool is the state of one service at its home: its upstreams, workspaces and
-requests.
+Times are in seconds of the timer service. Sizes are in bytes, except those
+named tokens. A pool is the state of one service at its home: its upstreams,
+workspaces and requests.
 """
 
 from collections import OrderedDict
@@ -11,23 +11,25 @@
 
 from spanfall_core.reasons import RetryReason
 
-#: Decode speed assumed for an upstream that has not been measured yet.
+#: Decode time per token assumed for an upstream without measurements, in
+#: seconds.
 DEFAULT_TOKEN_SECONDS = 0.02
-#: Service time assumed for an application call before the first answer.
+#: Duration assumed for an application call before the first response, in
+#: seconds.
 DEFAULT_CALL_SECONDS = 0.05
-#: Retries that a pool may spend before any request earned one.
+#: Initial retry credit of a pool, in retries.
 DEFAULT_RETRY_CREDIT = 20.0
 
 
-#: Negative priority, due time, sequence number and request id.
+#: Queue heap entry: negated priority, due time, sequence number, request id.
 QueueEntry = tuple[int, float, int, str]
-#: Due time, sequence number and request id.
+#: Due-time heap entry: due time, sequence number and request id.
 DueEntry = tuple[float, int, str]
 
 
 @unique
 class ServiceKind(StrEnum):
-    """Tell model pools, which can resume, from plain applications."""
+    """Distinguish model services, whose streams can resume, from applications."""
 
     MODEL = 'model'
     APPLICATION = 'application'
@@ -35,7 +37,7 @@
 
 @unique
 class UpstreamState(StrEnum):
-    """Give the life-cycle states of an upstream."""
+    """List the lifecycle states of an upstream."""
 
     ACTIVE = 'active'
     LEAVING = 'leaving'
@@ -44,7 +46,7 @@
 
 @unique
 class RequestState(StrEnum):
-    """Give the life-cycle states of a request at its home."""
+    """List the lifecycle states of a request at its home."""
 
     QUEUED = 'queued'
     AWAITING_RIGHT = 'awaiting-right'
@@ -54,7 +56,11 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """Describe one worker of a service and what runs on it now."""
+    """Describe one upstream of a service and its current load.
+
+    ``token_seconds`` and ``call_seconds`` are moving averages of the time per
+    token and per call.
+    """
 
     upstream_id: str
     address: str
@@ -77,9 +83,10 @@
 
 @dataclass(slots=True)
 class Workspace:
-    """Hold the limits of a workspace and what it uses of them.
+    """Hold the limits of a workspace and its current usage.
 
-    ``queued_work`` is seconds of a slot that wait, by priority.
+    ``queued_work`` is the estimated work in its queue, in slot-seconds, by
+    priority.
     """
 
     name: str
@@ -98,9 +105,9 @@
 
 @dataclass(slots=True)
 class Request:
-    """Describe one accepted request at its home.
+    """Describe one admitted request at its home.
 
-    ``work`` is the estimate, in seconds of a slot, made when it was queued.
+    ``work`` is the estimate made when it was queued, in slot-seconds.
     """
 
     request_id: str
@@ -130,7 +137,7 @@
 
 @dataclass(slots=True)
 class Policy:
-    """Hold the settings that the systems of one pool obey."""
+    """Hold the scheduling settings of one pool."""
 
     max_queued: int = 1000
     max_retries: int = 6
@@ -152,8 +159,8 @@
 class Pool:
     """Hold all state of one service at its home.
 
-    ``queues`` and ``due`` are heaps. An entry counts only while its request
-    is queued under the same sequence number; others are skipped when met.
+    ``queues`` and ``due`` are heaps. An entry is valid only while its request
+    is queued under the same sequence number; stale entries are skipped.
     """
 
     service: str
--- a/packages/spanfall-core/src/spanfall_core/upstreams.py
+++ b/packages/spanfall-core/src/spanfall_core/upstreams.py
@@ -1,24 +1,24 @@
-"""Keep the state of upstreams: leaving, ejected, slow start, speed.
+"""Track the state of upstreams: leaving, ejection, slow start and speed.
 
-Whichever source says first that an upstream leaves wins; only a higher
-incarnation undoes it.
+The first notice that an upstream is leaving takes effect, whatever its source;
+only a higher incarnation of the upstream makes it active again.
 """
 
 from spanfall_core.tables import Pool, Upstream, UpstreamState
 
-#: Share of its slots that an upstream offers at the begin of slow start.
+#: Fraction of its slots that an upstream offers at the start of slow start.
 SLOW_START_FRACTION = 0.25
-#: Weight of the newest sample in moving averages.
+#: Weight of the newest sample in the exponential moving averages.
 SMOOTHING_FACTOR = 0.2
 
 
 def is_usable(row: Upstream, now: float) -> bool:
-    """Tell whether new work may go to the upstream."""
+    """Return whether requests may be dispatched to the upstream."""
     return row.state is UpstreamState.ACTIVE and row.ejected_until <= now
 
 
 def open_slots(pool: Pool, row: Upstream, now: float) -> int:
-    """Return how many slots the upstream offers, free or not."""
+    """Return how many slots the upstream offers, free or occupied."""
     if not is_usable(row, now):
         return 0
     window = pool.policy.slow_start_seconds
@@ -30,14 +30,15 @@
 
 
 def usable_slots(pool: Pool, now: float) -> int:
-    """Return the slots that the whole pool offers, free or not."""
+    """Return how many slots the whole pool offers, free or occupied."""
     return sum(open_slots(pool, row, now) for row in pool.upstreams.values())
 
 
 def put_upstream(pool: Pool, row: Upstream, now: float) -> None:
-    """Add an upstream, or update it without losing what is known of it.
+    """Add an upstream, or update its description and keep its measured state.
 
-    A higher incarnation is a new process: it starts active and empty-handed.
+    A higher incarnation is a new process: its row replaces the known one and
+    keeps only the in-flight count. It goes through slow start.
     """
     known = pool.upstreams.get(row.upstream_id)
     if known is None or row.incarnation > known.incarnation:
@@ -54,7 +55,10 @@
 
 
 def record_failure(pool: Pool, row: Upstream, now: float) -> None:
-    """Count a failure and eject the upstream after several in a row."""
+    """Count a failure; eject the upstream after several consecutive ones.
+
+    Its slow start begins when the ejection ends.
+    """
     row.failures += 1
     if row.failures >= pool.policy.eject_after:
         row.ejected_until = now + pool.policy.eject_seconds
@@ -63,7 +67,7 @@
 
 
 def record_success(row: Upstream, seconds: float, tokens: int) -> None:
-    """Take the duration of a finished run into the averages."""
+    """Add the duration of a completed run to the moving averages."""
     row.failures = 0
     row.call_seconds += SMOOTHING_FACTOR * (seconds - row.call_seconds)
     if tokens:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Drive the core with random faults on virtual time and check promises."""
+"""Check invariants of the core under random faults in virtual time."""
 
 import os
 from collections import Counter
@@ -31,7 +31,7 @@
 
 UPSTREAMS = 4
 SLOTS = 2
-#: More steps by a command: SPANFALL_STEPS=500 pytest tests/test_properties.py
+#: Steps per example. Example: SPANFALL_STEPS=500 pytest tests/test_properties.py
 STEPS = int(os.environ.get('SPANFALL_STEPS', '60'))
 EXAMPLES = int(os.environ.get('SPANFALL_EXAMPLES', '60'))
 
@@ -40,10 +40,10 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Admit, dispatch, fail, reclaim and finish, in any order."""
+    """Admit, dispatch, fail, reclaim and complete requests in any order."""
 
     def __init__(self) -> None:
-        """Start with a pool of few small upstreams."""
+        """Start with a pool of a few small upstreams."""
         super().__init__()
         self.now = 0.0
         self.count = 0
@@ -59,7 +59,7 @@
             self.put(number)
 
     def put(self, number: int) -> None:
-        """Put an upstream of the current incarnation."""
+        """Put an upstream with the current incarnation into the pool."""
         row = Upstream(
             f'u{number}',
             'http://x',
@@ -70,7 +70,7 @@
         put_upstream(self.pool, row, self.now)
 
     def apply_effects(self, effects: list[Effect]) -> None:
-        """Follow effects as a node would, and check each."""
+        """Carry out effects as a node does, and check each."""
         for effect in effects:
             match effect:
                 case Dispatch():
@@ -84,7 +84,7 @@
                     assert not self.ended[effect.request_id]
 
     def check_dispatch(self, effect: Dispatch) -> None:
-        """Check that a dispatch may be, at that upstream."""
+        """Check that the request may be dispatched to that upstream."""
         req = self.admitted[effect.request_id]
         row = self.pool.upstreams[effect.upstream_id]
         assert not self.ended[effect.request_id]
@@ -93,17 +93,17 @@
         req.state = RequestState.RUNNING
 
     def check_refusal(self, effect: Refuse) -> None:
-        """Check that a refusal is the only end and says the truth."""
+        """Count the end of the request; check that NOT_RUN is correct."""
         self.ended[effect.request_id] += 1
         if effect.run_state is RunState.NOT_RUN:
             assert not self.may_have_run[effect.request_id]
 
     def tick(self) -> None:
-        """Run the pool's systems."""
+        """Run one scheduling tick of the pool."""
         self.apply_effects(run_tick(self.pool, self.now))
 
     def running(self) -> list[Request]:
-        """Return the running requests in a fixed order."""
+        """Return the running requests in a deterministic order."""
         rows = self.pool.requests.values()
         return [row for row in rows if row.state is RequestState.RUNNING]
 
@@ -120,7 +120,7 @@
         is_model: bool,
         wait: float | None,
     ) -> None:
-        """Submit a request."""
+        """Submit a request, then run a tick."""
         self.count += 1
         req = Request(
             f'r{self.count}',
@@ -137,14 +137,14 @@
 
     @rule(pick=choices, tokens=strategies.integers(0, 10))
     def progress(self, pick: int, tokens: int) -> None:
-        """Let a stream advance."""
+        """Advance a stream by some tokens."""
         rows = self.running()
         if rows:
             rows[pick % len(rows)].progress += tokens
 
     @rule(pick=choices)
     def end(self, pick: int) -> None:
-        """End a run with a whole answer."""
+        """Complete a run with a full response."""
         rows = self.running()
         if rows:
             req = rows[pick % len(rows)]
@@ -154,7 +154,7 @@
 
     @rule(pick=choices, failure=strategies.sampled_from(list(Failure)))
     def fail(self, pick: int, failure: Failure) -> None:
-        """Let a run fail."""
+        """Fail a run."""
         rows = self.running()
         if rows:
             req = rows[pick % len(rows)]
@@ -165,7 +165,7 @@
 
     @rule(number=numbers, notice=strategies.sampled_from([0.0, 1.0, 30.0]))
     def reclaim(self, number: int, notice: float) -> None:
-        """Announce that an upstream leaves."""
+        """Give notice that an upstream leaves, and evacuate it."""
         name = f'u{number}'
         until = self.now + notice
         incarnation = self.pool.upstreams[name].incarnation
@@ -175,7 +175,7 @@
 
     @rule(number=numbers)
     def terminate(self, number: int) -> None:
-        """Let an upstream go, with all that runs on it."""
+        """Terminate an upstream, and fail all runs on it."""
         name = f'u{number}'
         mark_gone(self.pool, name)
         for req in self.running():
@@ -188,27 +188,27 @@
 
     @rule(number=numbers)
     def replace(self, number: int) -> None:
-        """Put a new upstream in place of an old one."""
+        """Replace an upstream by a new incarnation."""
         self.incarnation += 1
         self.put(number)
         self.tick()
 
     @rule(seconds=strategies.sampled_from([0.1, 1.0, 10.0]))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.now += seconds
         self.tick()
 
     @invariant()
     def each_request_ends_once(self) -> None:
-        """Each request is held or has ended, exactly once."""
+        """Each request is in the pool or has ended exactly once."""
         for request_id in self.admitted:
             is_gone = request_id not in self.pool.requests
             assert self.ended[request_id] == int(is_gone)
 
     @invariant()
     def counts_are_exact(self) -> None:
-        """In-flight and queue counts equal the rows they count."""
+        """The in-flight and queue counts match the rows."""
         rows = self.pool.requests.values()
         queued = [row for row in rows if row.state is RequestState.QUEUED]
         assert self.pool.queued == len(queued)
