--- a/tests/quota_traffic.py
+++ b/tests/quota_traffic.py
@@ -1,51 +1,54 @@
-"""Draw the requests that a fleet gets in the model of limits."""
+"""Generate the requests of the simulation of limits."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
 
-REQUEST = 12_000
-#: The largest request that a small workspace of the deployments sends: six
-#: of them are its whole limit.
-LARGEST = 70_000
+#: Units of a request of fixed size.
+REQUEST_UNITS = 12_000
+#: Units of the largest request of a small workspace of the deployments: six
+#: of them use up its limit.
+LARGEST_REQUEST_UNITS = 70_000
 
 
 def equal_sizes() -> Callable[[], float]:
-    """Return a source of requests that are all of one size."""
-    return lambda: REQUEST
+    """Return a source of requests of equal size."""
+    return lambda: REQUEST_UNITS
 
 
 def mixed_sizes(seed: int) -> Callable[[], float]:
-    """Return a source of many small requests and a few up to the largest."""
+    """Return a source of many small requests and a few large ones."""
     draw = Random(seed)
 
     def size() -> float:
         mean = draw.choices((1_100, 2_400, 12_000), (60, 25, 15))[0]
-        return round(min(LARGEST, mean * draw.lognormvariate(-0.5, 1)))
+        return round(
+            min(LARGEST_REQUEST_UNITS, mean * draw.lognormvariate(-0.5, 1)),
+        )
 
     return size
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
-    """State how an admitted request goes on."""
+class Outcome:
+    """Describe how an admitted request ends."""
 
     #: Steps until it reaches an upstream or is refused.
     steps: int = 0
     is_refused: bool = False
 
 
-def run_at_once() -> Callable[[], Fate]:
-    """Return a source of requests that run as they are admitted."""
-    return Fate
+def run_immediately() -> Callable[[], Outcome]:
+    """Return a source of requests that run on admission."""
+    return Outcome
 
 
-def run_in_a_jam(seed: int, refused: float) -> Callable[[], Fate]:
-    """Return a source of requests that wait; a part is refused at last."""
+def run_after_queueing(seed: int, refused: float) -> Callable[[], Outcome]:
+    """Return a source of requests that queue; a part is then refused."""
     draw = Random(seed)
 
-    def fate() -> Fate:
+    def outcome() -> Outcome:
         steps = min(200, int(draw.expovariate(1 / 25)))
-        return Fate(steps, draw.random() < refused)
+        return Outcome(steps, draw.random() < refused)
 
-    return fate
+    return outcome
