--- a/packages/spanfall-core/src/spanfall_core/dispatch.py
+++ b/packages/spanfall-core/src/spanfall_core/dispatch.py
@@ -73,7 +73,7 @@
 def refuse_queued(req: Request, reason: RefusalReason) -> Refuse:
     """Return the refusal of a queued request.
 
-    Its run state tells whether an earlier attempt may have run.
+    Its run state tells whether an upstream may have run the request before.
     """
     if req.may_have_run or req.progress:
         return Refuse(req.request_id, reason, RunState.UNKNOWN)
--- a/packages/spanfall-core/src/spanfall_core/effects.py
+++ b/packages/spanfall-core/src/spanfall_core/effects.py
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Move the KV cache of a run from one upstream to another."""
+    """Export the KV cache of a run from one upstream, import it at another."""
 
     request_id: str
     source_id: str
--- a/packages/spanfall-core/src/spanfall_core/recovery.py
+++ b/packages/spanfall-core/src/spanfall_core/recovery.py
@@ -74,8 +74,8 @@
 def consume_retry(pool: Pool, req: Request, failure: Failure) -> bool:
     """Consume a retry of the request and the pool; return whether it may retry.
 
-    Upstreams that leave are caused by the platform, so their failures
-    consume no retry. A request with progress may retry without pool credit.
+    The platform makes upstreams leave, so such failures consume no retry. A
+    request with progress may retry even if the pool has no credit left.
     """
     if failure is Failure.LEAVING:
         return True
