--- a/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/home_links.py
@@ -1,9 +1,9 @@
-"""Answer the entries while this node is the home.
+"""Serve the links of entries while this node is the home.
 
-Each entry holds one websocket to the home. It reports on it and gets the
-home's table back, tells what it has running, and asks which upstream is to
-serve a request. A node that is no home closes the link, and the entry looks
-the home up again.
+Each entry keeps one websocket to the home. On it the entry sends reports,
+which are answered with the home's table, and its load, and requests the
+upstreams for single requests. A node that is not the home closes the link, and
+the entry looks up the home again.
 """
 
 import logging
@@ -23,10 +23,10 @@
 )
 from spanfall_node.gateway.links.messages import (
     MESSAGE_BYTES,
-    AskMessage,
     ConfigurationPart,
     FromEntry,
     GrantMessage,
+    GrantRequestMessage,
     LoadMessage,
     ReportMessage,
     TableMessage,
@@ -36,36 +36,41 @@
     decode_from_entry,
     encode,
 )
-from spanfall_node.gateway.links.passing_on import PassingOn
+from spanfall_node.gateway.links.passing_on import ConfigurationSender
 from spanfall_node.gateway.links.succession_messages import (
     FarewellMessage,
     StoreReached,
     SuccessorMessage,
 )
-from spanfall_node.gateway.links.word_messages import WordsPart, WordsReport
+from spanfall_node.gateway.links.word_messages import (
+    StatementsPart,
+    StatementsReport,
+)
 from spanfall_node.gateway.net.sockets import BACKLOG
 from spanfall_node.gateway.tables.state import GatewayState
-from spanfall_node.gateway.upstreams.granting import decide
-from spanfall_node.gateway.upstreams.hearing import learn_words
+from spanfall_node.gateway.upstreams.granting import decide_grant
+from spanfall_node.gateway.upstreams.hearing import merge_statements
 
 logger = logging.getLogger(__name__)
 
-#: Age of what was never read, as a finite number of seconds.
-NEVER_SECONDS = 1e9
+#: Finite age in seconds sent for data that was never read.
+MAX_AGE_SECONDS = 1e9
 
 
 class HomeLinks:
-    """Answer what entries send while this node is the home."""
+    """Answer messages of entries while this node is the home."""
 
     def __init__(self, state: GatewayState) -> None:
-        """Use the tables of the node."""
+        """Use the state of the node."""
         self._state = state
         self._succession = Succession(state)
         self._quarantine = QuarantineLinks(state)
-        self._passing_on = PassingOn(state.cfg.host.link_megabits)
+        self._configuration_sender = ConfigurationSender(
+            state.cfg.host.link_megabits
+        )
 
     async def run(self) -> None:
-        """Listen for entries until cancelled."""
+        """Accept links of entries until cancelled."""
         host, _, port = self._state.cfg.listen.links.rpartition(':')
         async with serve(
             self._serve_link,
@@ -84,7 +89,7 @@
                 self._resign()
 
     def _resign(self) -> None:
-        """Act no more once nobody can reach this node: others take over."""
+        """Resign as home when the listener ends, so that others take over."""
         if self._state.tenure is not None:
             self._state.tenure.resign()
 
@@ -92,32 +97,34 @@
         self._succession.add(link)
         self._quarantine.add(link)
         try:
-            async for received in link:
+            async for data in link:
                 if self._state.tenure is None:
-                    await self._refer(link)
+                    await self._redirect(link)
                     return
-                answer = self._answer(received, link)
+                answer = self._answer(data, link)
                 if answer is not None:
                     await link.send(answer)
         except (WebSocketException, OSError) as exc:
-            logger.info('A link from an entry ended: %r', exc)
+            logger.info('The link of an entry failed: %r', exc)
         except ValueError:
-            logger.exception('An entry sent no message; check its version')
+            logger.exception(
+                'An entry sent an invalid message; check its version',
+            )
         finally:
             self._succession.remove(link)
             self._quarantine.remove(link)
 
-    async def _refer(self, link: ServerConnection) -> None:
-        """Name the home to an entry that takes this node for it."""
+    async def _redirect(self, link: ServerConnection) -> None:
+        """Send the current home to an entry that has linked to this node."""
         if self._state.home is not None:
             await link.send(encode(SuccessorMessage(self._state.home)))
 
     def _answer(
         self,
-        received: bytes,
+        data: bytes,
         link: ServerConnection | None = None,
     ) -> bytes | None:
-        message = decode_from_entry(received)
+        message = decode_from_entry(data)
         now = self._state.timers.now()
         match message:
             case FarewellMessage():
@@ -127,8 +134,8 @@
                 book.apply_report(message.entry, message.load, now)
             case WatchedRun():
                 self._state.crashes.note_run(message, now)
-            case WordsReport():
-                learn_words(self._state, message.words)
+            case StatementsReport():
+                merge_statements(self._state, message.words)
             case _:
                 return self._reply(message, link, now)
         return None
@@ -139,21 +146,21 @@
         link: ServerConnection | None,
         now: float,
     ) -> bytes | None:
-        """Answer a message that wants an answer."""
+        """Return the answer to a message that expects one."""
         match message:
             case StoreReached():
                 resigned = self._succession.hand_over(message.epoch)
                 return None if resigned is None else encode(resigned)
-            case AskMessage():
+            case GrantRequestMessage():
                 return encode(self._grant(message, now))
             case UnitsRequest():
                 return encode(self._units(message, now))
             case CrashReport():
-                return self._learn_crashes(message, now)
-        self._succession.note(link, message.strength)
+                return self._apply_crash_report(message, now)
+        self._succession.set_strength(link, message.strength)
         return encode(self._table(message, now))
 
-    def _learn_crashes(
+    def _apply_crash_report(
         self,
         report: CrashReport,
         now: float,
@@ -164,10 +171,12 @@
             return None
         return encode(QuarantineMessage(crashes.quarantined(now)))
 
-    def _grant(self, message: AskMessage, now: float) -> GrantMessage:
+    def _grant(self, message: GrantRequestMessage, now: float) -> GrantMessage:
         state = self._state
         state.grant_book.apply_report(message.entry, message.load, now)
-        return decide(state, message.entry, message.number, message.request)
+        return decide_grant(
+            state, message.entry, message.number, message.request
+        )
 
     def _units(self, message: UnitsRequest, now: float) -> UnitsMessage:
         units = self._state.lend_units(
@@ -197,10 +206,10 @@
             report_after=period,
             totals=totals,
             configuration_version=state.version,
-            proof_age=min(state.freshness.age(now), NEVER_SECONDS),
+            proof_age=min(state.freshness.age(now), MAX_AGE_SECONDS),
             upstreams_age=min(
                 now - state.directory.confirmed_at,
-                NEVER_SECONDS,
+                MAX_AGE_SECONDS,
             ),
             true_time=state.true_time.at(now),
             speeds=state.fleet.speeds(),
@@ -216,10 +225,10 @@
         self,
         message: ReportMessage,
         now: float,
-    ) -> WordsPart | None:
+    ) -> StatementsPart | None:
         table = self._state.words.table
         words = table.changes_since(message.words_version, now)
-        return WordsPart(table.version, words) if words else None
+        return StatementsPart(table.version, words) if words else None
 
     def _configuration(
         self,
@@ -228,7 +237,7 @@
         version = self._state.version
         if message.configuration_version >= version:
             return None
-        return self._passing_on.part(
+        return self._configuration_sender.part(
             version,
             self._state.configuration_source,
             self._state.timers.now(),
@@ -238,15 +247,15 @@
         directory = self._state.directory
         if message.upstreams_digest == directory.digest:
             return None
-        known = message.upstreams_revision
-        if not 0 < known < directory.revision:
+        known_revision = message.upstreams_revision
+        if not 0 < known_revision < directory.revision:
             rows = tuple(directory.rows.values())
             return UpstreamsPart(
                 directory.revision,
                 rows,
                 digest=directory.digest,
             )
-        change = directory.changes_since(known)
+        change = directory.changes_since(known_revision)
         return UpstreamsPart(
             directory.revision,
             change.rows,
--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -1,9 +1,9 @@
-"""Choose the home of the fleet: the holder of one leased record.
+"""Elect the home of the fleet: the holder of one leased record.
 
 The revision of the record is the home's epoch and the fencing token of its
-calls. A holder acts only while its lease is certain to last, counted from
+calls. A holder acts only while its lease is certain to be valid, counted from
 before the renewal was sent. A store that was restored from a copy has lost
-record and lease: there is another record for each timeline.
+the record and the lease, so each timeline has a record of its own.
 """
 
 import logging
@@ -15,16 +15,19 @@
 )
 
 from spanfall_node.gateway.home.claiming import Claim, claim_home
-from spanfall_node.gateway.home.home_content import HomeContent, name_home
+from spanfall_node.gateway.home.home_content import (
+    HomeContent,
+    make_home_record,
+)
 from spanfall_node.gateway.home.home_pace import (
-    LOOK_PERIOD,
-    MOST_OUTAGE_LOOKS,
-    OUTAGE_LOOK_PERIOD,
-    SMALL_HOST_SECONDS,
+    LOOKUP_PERIOD,
+    MAX_OUTAGE_LOOKUPS_PER_SECOND,
+    OUTAGE_LOOKUP_PERIOD,
+    SMALL_HOST_DELAY_SECONDS,
     is_small,
-    look_period,
+    lookup_period,
 )
-from spanfall_node.gateway.home.new_tenure import begin_tenure, go_on
+from spanfall_node.gateway.home.new_tenure import begin_tenure, continue_tenure
 from spanfall_node.gateway.net.ports import StoredItem
 from spanfall_node.gateway.store.home_records import HomeRecords
 from spanfall_node.gateway.store.store_client import (
@@ -40,24 +43,25 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds that the home's lease lasts without renewal, where the store
-#: grants one as short.
+#: Duration of the home's lease in seconds, unless the store's shortest lease
+#: is longer.
 LEASE_SECONDS = 2.5
-#: Seconds before the end of the lease at which its holder stops to act.
+#: Seconds before the end of the lease at which its holder stops acting.
 LEASE_MARGIN = 0.5
-#: Seconds between two renewals.
+#: Seconds between two renewals of the lease.
 RENEW_PERIOD = 0.5
-#: Seconds for one: a home that is cut off hands over while its lease lasts.
-RENEW_SECONDS = 0.3
-#: Seconds since the last renewal after which failures mean that the home is
-#: cut off; a single answer that is lost does not.
-CUT_SECONDS = 0.85
-#: Seconds until the next after one that failed.
+#: Timeout of a renewal in seconds. It is short so that a home that cannot
+#: reach the store hands over while its lease is still valid.
+RENEW_TIMEOUT_SECONDS = 0.3
+#: Seconds since the last renewal after which a failed renewal means that the
+#: home is cut off from the store. A single lost answer does not.
+CUT_OFF_SECONDS = 0.85
+#: Seconds until the next renewal after a failed one.
 RETRY_PERIOD = 0.1
 
 
 class Leadership:
-    """Find the home, or become it when there is none."""
+    """Look up the home, or become it if there is none."""
 
     def __init__(
         self,
@@ -65,27 +69,27 @@
         store: StoreClient,
         records: HomeRecords,
     ) -> None:
-        """Use the tables of the node, the store and what homes record."""
+        """Use the state of the node, the store and the records of homes."""
         self._state = state
         self._store = store
         self._records = records
-        #: When this node first saw that nobody holds the record.
+        #: When this node first found the record without a valid holder.
         self._free_since: float | None = None
 
     async def run(self) -> None:
-        """Follow or hold the home's record until cancelled."""
+        """Follow or hold the home record until cancelled."""
         while True:
             try:
                 await self._step()
             except LeaseLostError:
-                self._lay_down('the lease has ended')
+                self._step_down('its lease has expired')
                 self._state.look_now.set()
             except StoreError as exc:
                 logger.info('Could not look up the home: %r', exc)
-            await self._wait(self._pause())
+            await self._wait(self._check_interval())
 
     async def _wait(self, seconds: float) -> None:
-        """Wait for some seconds, or until there is a reason to look."""
+        """Wait for some seconds, or until a lookup is requested."""
         state = self._state
         with anyio.move_on_after(seconds):
             await state.look_now.wait()
@@ -93,42 +97,44 @@
             state.look_now = anyio.Event()
 
     async def resign(self) -> None:
-        """Give the record up, so that another node takes over at once.
+        """Release the record, so that another node takes over at once.
 
-        This node goes on to answer the entries until it knows another home.
+        This node keeps answering the entries until there is another home.
         """
         tenure = self._state.tenure
         if tenure is None:
             return
-        self._lay_down('this node stops')
+        self._step_down('this node is stopping')
         try:
             await self._store.revoke(tenure.timeline, tenure.lease)
         except StoreError as exc:
-            logger.info('Could not end the lease: %r', exc)
+            logger.info('Could not revoke the lease of the home: %r', exc)
 
     @property
     def _lease_seconds(self) -> float:
         return max(LEASE_SECONDS, self._state.cfg.least_lease_seconds)
 
-    def _pause(self) -> float:
+    def _check_interval(self) -> float:
         tenure = self._state.tenure
         if tenure is not None and not tenure.resigned:
             return RETRY_PERIOD if self._store.health.failing else RENEW_PERIOD
         entries = self._state.quotas.entries
         if self._store.health.failing:
-            return look_period(OUTAGE_LOOK_PERIOD, entries, MOST_OUTAGE_LOOKS)
-        return look_period(LOOK_PERIOD, entries)
+            return lookup_period(
+                OUTAGE_LOOKUP_PERIOD, entries, MAX_OUTAGE_LOOKUPS_PER_SECOND
+            )
+        return lookup_period(LOOKUP_PERIOD, entries)
 
     async def _step(self) -> None:
         state = self._state
         tenure = state.tenure
         if tenure is not None and not tenure.resigned:
             await self._renew(tenure)
-        elif state.home is None or self._is_doubtful():
-            await self._look()
+        elif state.home is None or self._is_home_suspect():
+            await self._look_up_home()
 
-    def _is_doubtful(self) -> bool:
-        """Tell whether the home is silent or cannot reach the store."""
+    def _is_home_suspect(self) -> bool:
+        """Tell whether the home is silent, has resigned or lost the store."""
         state = self._state
         if state.home_resigned or state.tenure is not None:
             return True
@@ -146,28 +152,29 @@
             await self._store.renew(
                 tenure.timeline,
                 tenure.lease,
-                RENEW_SECONDS,
+                RENEW_TIMEOUT_SECONDS,
             )
         except StoreRestoredError:
             if tenure.timeline < self._store.timeline:
-                await self._hold_next_record(tenure)
+                await self._claim_on_new_timeline(tenure)
             return
         except StoreError:
             now = self._state.timers.now()
-            tenure.is_cut = now - tenure.renewed_at > CUT_SECONDS
+            tenure.is_cut = now - tenure.renewed_at > CUT_OFF_SECONDS
             raise
         if tenure.resigned:
-            # Handed over meanwhile: what was renewed is not held any more.
+            # The home was handed over during the renewal, so the renewed
+            # lease must not extend the tenure.
             return
         tenure.is_cut = False
         tenure.renewed_at = sent_at
         tenure.valid_until = self._valid_until(sent_at)
 
-    async def _hold_next_record(self, tenure: Tenure) -> None:
-        """Hold the record of the store's next timeline as well.
+    async def _claim_on_new_timeline(self, tenure: Tenure) -> None:
+        """Claim the record of the store's next timeline during the tenure.
 
-        While its lease of the one before lasts no other node was the home
-        there, so there is no break.
+        While the lease on the previous timeline is valid no other node can
+        have become the home there, so the tenure continues without a gap.
         """
         if self._state.timers.now() >= tenure.valid_until:
             raise LeaseLostError
@@ -176,123 +183,133 @@
         if claim is None:
             raise LeaseLostError
         if self._state.tenure is not tenure or tenure.resigned:
-            # Handed over meanwhile: another may be the home by now.
+            # The home was handed over meanwhile, so another node may hold it.
             await self._store.revoke(claim.timeline, claim.lease)
             return
-        go_on(self._state, claim, self._valid_until(claim.sent_at))
+        continue_tenure(self._state, claim, self._valid_until(claim.sent_at))
 
-    async def _look(self) -> None:
+    async def _look_up_home(self) -> None:
         timeline = self._store.timeline
         item = await self._store.get(home_key(timeline))
         if self._store.timeline != timeline:
-            # That was the record of an earlier timeline.
+            # The record was read from an earlier timeline.
             self._state.look_now.set()
             return
         if item is None:
-            await self._take_free_record()
+            await self._claim_free_record()
             return
-        await self._use_record(item)
+        await self._handle_record(item)
 
-    async def _take_free_record(self) -> None:
+    async def _claim_free_record(self) -> None:
         state = self._state
         if state.draining_since is not None:
             return
-        is_told = state.vacant_epoch and state.vacant_epoch == self._epoch()
-        if is_told or self._is_its_turn():
-            await self._try_to_hold(0)
+        is_reported_vacant = (
+            state.vacant_epoch and state.vacant_epoch == self._epoch()
+        )
+        if is_reported_vacant or self._may_claim():
+            await self._try_to_become_home(0)
 
     def _epoch(self) -> int:
-        """Return the epoch of the home that is known, or 0."""
+        """Return the epoch of the followed home, or 0 if there is none."""
         return self._state.home.epoch if self._state.home else 0
 
-    async def _use_record(self, item: StoredItem) -> None:
+    async def _handle_record(self, item: StoredItem) -> None:
         state = self._state
         content = decode_record(item, HomeContent)
         if content is None:
-            if self._has_waited(self._lease_seconds):
-                await self._seize(item)
+            if self._has_been_free_for(self._lease_seconds):
+                await self._replace_unreadable_record(item)
             return
         self._free_since = None
         is_vacant = item.revision == state.vacant_epoch
-        is_free = is_vacant or self._was_this_node(content)
+        is_free = is_vacant or self._is_from_earlier_run(content)
         if is_free and state.draining_since is None:
-            await self._try_to_hold(item.revision)
+            await self._try_to_become_home(item.revision)
         else:
             self._follow(item.revision, content)
 
-    async def _seize(self, item: StoredItem) -> None:
-        """Take over from a home whose record nobody can read.
+    async def _replace_unreadable_record(self, item: StoredItem) -> None:
+        """Take over from a home whose record cannot be decoded.
 
-        It may live on until its lease would have ended. Until then this node
-        gives no units: two would give the same ones.
+        That home may act until its lease would have expired. Until then this
+        node allocates no units, since both would allocate the same ones.
         """
-        known = item.revision
+        known_revision = item.revision
         if item.lease:
             await self._store.revoke(self._store.timeline, item.lease)
-            known = 0
-        await self._try_to_hold(known, self._lease_seconds - LEASE_MARGIN)
+            known_revision = 0
+        await self._try_to_become_home(
+            known_revision, self._lease_seconds - LEASE_MARGIN
+        )
 
-    def _is_its_turn(self) -> bool:
-        """Tell whether larger hosts have had time to become the home."""
-        seconds = SMALL_HOST_SECONDS if is_small(self._state.cfg.host) else 0
-        return self._has_waited(seconds)
+    def _may_claim(self) -> bool:
+        """Tell whether larger hosts have had time to claim the record."""
+        seconds = (
+            SMALL_HOST_DELAY_SECONDS if is_small(self._state.cfg.host) else 0
+        )
+        return self._has_been_free_for(seconds)
 
-    def _has_waited(self, seconds: float) -> bool:
-        """Tell whether there has been no home for some seconds."""
+    def _has_been_free_for(self, seconds: float) -> bool:
+        """Tell whether the record has been free for some seconds."""
         now = self._state.timers.now()
         if self._free_since is None:
             self._free_since = now
         return now - self._free_since >= seconds
 
-    def _was_this_node(self, content: HomeContent) -> bool:
-        """Tell whether an earlier run of this node holds the record.
+    def _is_from_earlier_run(self, content: HomeContent) -> bool:
+        """Tell whether an earlier run of this node wrote the record.
 
-        That run is over, so its record may be replaced at once.
+        That run has ended, so its record may be replaced at once.
         """
         is_same = content.node == self._state.cfg.node
         return is_same and content.incarnation != self._state.incarnation
 
     def _follow(self, epoch: int, content: HomeContent) -> None:
-        home = name_home(content, epoch)
+        home = make_home_record(content, epoch)
         self._state.follow_home(home, self._state.timers.now())
 
-    async def _try_to_hold(self, known: int, gives_after: float = 0) -> None:
-        """Write this node's record over one of revision ``known``.
+    async def _try_to_become_home(
+        self, known_revision: int, allocation_delay: float = 0
+    ) -> None:
+        """Replace the record of revision ``known_revision`` by this node's.
 
-        ``gives_after`` are the seconds after which it may give units.
+        ``allocation_delay`` is the time in seconds before this node may
+        allocate units.
         """
         state = self._state
         shared_levels = await self._records.spending.read()
         state.needs = await self._records.needs.read()
         await self._records.crashes.read()
-        claim = await self._claim(known)
+        claim = await self._claim(known_revision)
         if claim is None:
             state.look_now.set()
             return
         state.shared_levels = shared_levels
-        gives_at = state.timers.now() + gives_after
+        gives_at = state.timers.now() + allocation_delay
         if claim.is_first_since_restore:
-            # The store has forgotten the lease of a home that may act on.
+            # The restored store has lost the lease of a home that may still
+            # act until that lease would have expired.
             forgotten_at = self._valid_until(self._store.timeline_since)
             gives_at = max(gives_at, forgotten_at)
         valid_until = self._valid_until(claim.sent_at)
         begin_tenure(state, claim, valid_until, gives_at)
 
-    async def _claim(self, known: int) -> Claim | None:
+    async def _claim(self, known_revision: int) -> Claim | None:
         return await claim_home(
             self._state,
             self._store,
-            known,
+            known_revision,
             self._lease_seconds,
         )
 
     def _valid_until(self, sent_at: float) -> float:
-        """Return until when a lease certainly lasts that was asked for."""
+        """Return until when a lease requested at a time is certainly valid."""
         return sent_at + self._lease_seconds - LEASE_MARGIN
 
-    def _lay_down(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         tenure = self._state.tenure
         if tenure is None or tenure.resigned:
             return
-        logger.warning('This node is not the home any more: %s', reason)
+        logger.warning('This node is no longer the home: %s', reason)
         tenure.resign()
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/granting.py
@@ -1,4 +1,4 @@
-"""Grant, as the home, the upstream of each request of the fleet."""
+"""Grant an upstream, as the home, to each request of the fleet."""
 
 from collections.abc import Sequence
 from collections.abc import Set as AbstractSet
@@ -14,19 +14,19 @@
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.tables.tenure import is_giver
 
-#: Seconds after which a caller is to come back whose request only upstreams
-#: with limits of their own could serve, while no home gives permits: most
-#: homes that end are followed by then.
-HOMELESS_SECONDS = 2.0
+#: Retry-After seconds for a request that only rate-limited upstreams could
+#: serve while no home grants permits: by then most failed homes have a
+#: successor.
+NO_HOME_RETRY_SECONDS = 2.0
 
-#: Standings of requests for which the home grants nothing.
-NOT_SENT = frozenset((Standing.HELD, Standing.QUARANTINED))
+#: Standings with which the home grants a request no upstream.
+UNGRANTED_STANDINGS = frozenset((Standing.HELD, Standing.QUARANTINED))
 
-#: Recent failures from which on an upstream is taken to fail.
-FAILING = 1.0
+#: Recent failures from which on an upstream counts as failing.
+FAILING_THRESHOLD = 1.0
 
 
-def decide(
+def decide_grant(
     state: GatewayState,
     entry: str,
     number: int,
@@ -34,13 +34,13 @@
 ) -> GrantMessage:
     """Choose an upstream for an entry's request, as the home.
 
-    A request that ends upstreams, or may have ended as many, gets none, and one
-    that is suspect of it only where no other such request is tried.
+    A request that crashes upstreams, or may have crashed as many, gets none. A
+    suspect request gets one only while no other suspect is on trial.
     """
     now = state.timers.now()
     state.learn_own_load(now)
     standing = state.crashes.standing(request.ask.identity, now)
-    if standing in NOT_SENT:
+    if standing in UNGRANTED_STANDINGS:
         return GrantMessage(number, standing=standing)
     if not request.ask.tried:
         state.grant_book.first_attempts[request.service] += 1
@@ -53,10 +53,10 @@
         if not trials.try_begin(request.service, identity, now):
             return GrantMessage(number, standing=standing)
     if standing is not Standing.FREE:
-        ask = request.ask
-        closed = ask.tried | ask.avoided | withheld
-        candidates = _where_least_breaks(state, serving, closed, now)
-    grant = _choose_as_home(
+        routing_request = request.ask
+        excluded = routing_request.tried | routing_request.avoided | withheld
+        candidates = _cheapest_to_crash(state, serving, excluded, now)
+    grant = _choose_and_grant(
         state,
         entry,
         number,
@@ -66,65 +66,68 @@
     )
     wait = 0.0
     if grant is None:
-        wait = _wait(state, request, now)
+        wait = _seconds_to_permit(state, request, now)
     return GrantMessage(number, grant, standing, wait)
 
 
 def _withheld(state: GatewayState, now: float) -> AbstractSet[Lifetime]:
-    """Return the upstreams that get nothing now.
+    """Return the upstreams that get no requests now.
 
-    What a home gives that is perhaps not the only one could pass a limit.
+    A home that may not be the only one withholds all rate-limited upstreams:
+    permits from two homes could together exceed a limit.
     """
     if is_giver(state.tenure, now):
         return state.words.permits.withheld(now)
     return state.words.table.rates.keys()
 
 
-def _wait(state: GatewayState, request: GrantRequest, now: float) -> float:
-    """Return when an upstream has room that has none by its own limit."""
-    untried = is_any_limited(state, request.service, request.ask)
-    if not untried:
+def _seconds_to_permit(
+    state: GatewayState, request: GrantRequest, now: float
+) -> float:
+    """Return the seconds to a permit of a rate-limited upstream, or 0."""
+    has_candidate = has_limited_candidate(state, request.service, request.ask)
+    if not has_candidate:
         return 0
     if is_giver(state.tenure, now):
         rows = state.directory.serving(request.service)
         return state.words.permits.wait(request.service, rows, now)
-    return HOMELESS_SECONDS
+    return NO_HOME_RETRY_SECONDS
 
 
-def is_any_limited(
-    state: GatewayState, service: str, ask: RoutingRequest
+def has_limited_candidate(
+    state: GatewayState, service: str, routing_request: RoutingRequest
 ) -> bool:
-    """Tell whether room at an upstream with a limit would serve a request."""
+    """Tell whether a rate-limited upstream could serve a request."""
     limited = state.words.table.rates
-    closed = ask.tried | ask.avoided
+    excluded = routing_request.tried | routing_request.avoided
     return bool(limited) and any(
-        row.lifetime in limited and row.lifetime not in closed
+        row.lifetime in limited and row.lifetime not in excluded
         for row in state.directory.serving(service)
     )
 
 
-def _where_least_breaks(
+def _cheapest_to_crash(
     state: GatewayState,
     candidates: Sequence[ListedUpstream],
-    closed: AbstractSet[Lifetime],
+    excluded: AbstractSet[Lifetime],
     now: float,
 ) -> Sequence[ListedUpstream]:
-    """Return the upstream whose end would cost least, if one is left.
+    """Return the upstream whose crash would cost least, if one is left.
 
-    Those that failed lately come last: few run there, and the request would
-    learn nothing there.
+    Those that failed recently come last: they run few requests, and a trial
+    there would show nothing about the request.
     """
     running = state.grant_book.running
 
     def cost(row: ListedUpstream) -> tuple[bool, int]:
         failures = state.loads.failures_at(row.lifetime, now)
-        return failures >= FAILING, running[row.lifetime]
+        return failures >= FAILING_THRESHOLD, running[row.lifetime]
 
-    left = [row for row in candidates if row.lifetime not in closed]
+    left = [row for row in candidates if row.lifetime not in excluded]
     return sorted(left, key=cost)[:1]
 
 
-def _choose_as_home(
+def _choose_and_grant(
     state: GatewayState,
     entry: str,
     number: int,
@@ -156,6 +159,6 @@
         is_permit,
     )
     if entry != state.entry_key:
-        # The home's own counts include its own grants at once.
+        # The home's own counts include its own requests at once.
         state.grant_book.grant(entry, grant)
     return grant
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -1,8 +1,9 @@
-"""Choose the upstream of each request: ask the home, or decide alone.
+"""Choose each request's upstream: ask the home, or decide locally.
 
-The home knows what runs everywhere and which prompts were read where. An
-entry that has no home, or waits too long for one, decides from its own
-counts and the last table, so a silent home costs a bounded wait.
+The home has the counts of the whole fleet and knows which upstream has read
+which prompts. An entry that has no home, or gets no grant in time, decides
+from its own counts and the last table, so an unresponsive home costs only a
+bounded wait.
 """
 
 import logging
@@ -14,118 +15,122 @@
 from spanfall_core.gateway.routing.grants import EntryLoad, RetryAfter
 
 from spanfall_node.gateway.links.messages import (
-    AskMessage,
     GrantMessage,
     GrantRequest,
+    GrantRequestMessage,
 )
-from spanfall_node.gateway.links.questions import Questions, Send
+from spanfall_node.gateway.links.questions import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.granting import (
-    HOMELESS_SECONDS,
-    decide,
-    is_any_limited,
+    NO_HOME_RETRY_SECONDS,
+    decide_grant,
+    has_limited_candidate,
 )
 
 logger = logging.getLogger(__name__)
 
-#: Seconds that a request waits for the home's decision: some ways between
-#: data centres, and far less than any target.
-GRANT_SECONDS = 0.03
-#: Seconds for which an entry decides alone after the home was too slow.
-ALONE_SECONDS = 0.5
-#: Standings of requests that are not sent without the home's grant.
-WITHHELD = frozenset(
+#: Seconds that a request waits for the home's grant: a few network delays
+#: between data centres, and far less than any latency target.
+GRANT_TIMEOUT_SECONDS = 0.03
+#: Seconds for which an entry decides locally after a grant timed out.
+LOCAL_DECISION_SECONDS = 0.5
+#: Standings of requests that are sent only with the home's grant.
+GRANT_REQUIRED = frozenset(
     (Standing.SUSPECT, Standing.HELD, Standing.QUARANTINED),
 )
-#: What a choice leads to; None: no upstream serves.
-Outcome = Choice | RetryAfter | Standing | None
+#: Result of a choice; None if no upstream can serve the request.
+ChoiceOutcome = Choice | RetryAfter | Standing | None
 
-#: Outcomes of a choice, as counted.
+#: How a choice was made, used as metric labels.
 AS_HOME = 'as-home'
 GRANTED = 'granted'
-ALONE = 'alone'
+DECIDED_LOCALLY = 'alone'
 
 
 @dataclass(slots=True)
-class Grants:
-    """Ask the home over the link that the entry holds to it."""
+class GrantClient:
+    """Choose upstreams with the home's grants or, without a home, locally."""
 
     state: GatewayState
-    _questions: Questions[GrantMessage] = field(default_factory=Questions)
-    _alone_until: float = 0
+    _questions: PendingRequests[GrantMessage] = field(
+        default_factory=PendingRequests
+    )
+    _local_until: float = 0
 
     def connect(self, send: Send) -> None:
-        """Ask over this link from now on."""
+        """Request grants over this link from now on."""
         self._questions.connect(send)
 
     def disconnect(self) -> None:
-        """Decide alone until there is another link."""
+        """Decide locally until another link connects."""
         self._questions.disconnect()
 
-    def learn(self, answer: GrantMessage) -> None:
-        """Take the home's answer; one that comes too late is not used."""
-        self._questions.learn(answer.number, answer)
+    def accept_answer(self, answer: GrantMessage) -> None:
+        """Resolve a pending request; a late answer is ignored."""
+        self._questions.resolve(answer.number, answer)
 
     def load(self) -> EntryLoad:
-        """Return what runs here and up to which grant that is known."""
-        return self.state.own_load(self._questions.settled)
+        """Return the local load and the last grant number that it includes."""
+        return self.state.own_load(self._questions.last_settled)
 
     async def choose(
         self,
         service: str,
-        ask: RoutingRequest,
-    ) -> Outcome:
-        """Return the upstream for a request, if any serves.
+        routing_request: RoutingRequest,
+    ) -> ChoiceOutcome:
+        """Return the upstream for a request, if any can serve it.
 
-        Return its standing where it may not be sent, or not now. The caller
-        counts the request at once, before it waits for anything.
+        Return the request's standing if it may not be sent, or not now. The
+        calling code has to count the request as running before it next waits.
         """
         state = self.state
-        state.prompts.record_prompt(ask, state.timers.now())
+        state.prompts.record_prompt(routing_request, state.timers.now())
         if state.tenure is not None:
             state.counters.grants.labels(AS_HOME).inc()
-            request = GrantRequest(service, ask)
-            return self._outcome(decide(state, state.entry_key, 0, request))
-        asks = self._questions.is_connected
-        if asks and state.timers.now() >= self._alone_until:
-            choice = await self._ask_home(service, ask)
+            request = GrantRequest(service, routing_request)
+            return self._accept_grant(
+                decide_grant(state, state.entry_key, 0, request)
+            )
+        can_ask = self._questions.is_connected
+        if can_ask and state.timers.now() >= self._local_until:
+            choice = await self._request_grant(service, routing_request)
             if choice is not None:
                 state.counters.grants.labels(GRANTED).inc()
                 return choice
-        state.counters.grants.labels(ALONE).inc()
-        return self._choose_alone(service, ask)
+        state.counters.grants.labels(DECIDED_LOCALLY).inc()
+        return self._choose_locally(service, routing_request)
 
-    async def _ask_home(
+    async def _request_grant(
         self,
         service: str,
-        ask: RoutingRequest,
-    ) -> Outcome:
+        routing_request: RoutingRequest,
+    ) -> ChoiceOutcome:
         state = self.state
-        request = GrantRequest(service, ask)
+        request = GrantRequest(service, routing_request)
         question = await self._questions.ask(
-            lambda number: AskMessage(
+            lambda number: GrantRequestMessage(
                 state.entry_key,
                 number,
                 request,
                 self.load(),
             ),
-            GRANT_SECONDS,
+            GRANT_TIMEOUT_SECONDS,
         )
         if not question.is_answered:
-            self._alone_until = state.timers.now() + ALONE_SECONDS
+            self._local_until = state.timers.now() + LOCAL_DECISION_SECONDS
             logger.info(
-                'The home granted nothing within %s s; deciding alone',
-                GRANT_SECONDS,
+                'Home sent no grant within %s s; choosing upstreams locally',
+                GRANT_TIMEOUT_SECONDS,
             )
         if question.answer is None:
             return None
-        return self._outcome(question.answer)
+        return self._accept_grant(question.answer)
 
-    def _outcome(self, answer: GrantMessage) -> Outcome:
-        """Return the granted choice unless this node knows better."""
+    def _accept_grant(self, answer: GrantMessage) -> ChoiceOutcome:
+        """Return the granted choice unless newer local state rules it out."""
         grant = answer.grant
         if grant is None:
-            if answer.standing in WITHHELD:
+            if answer.standing in GRANT_REQUIRED:
                 return answer.standing
             return RetryAfter(answer.wait) if answer.wait else None
         row = self.state.directory.rows.get(grant.lifetime)
@@ -134,37 +139,39 @@
         words = self.state.words
         is_limited = grant.lifetime in words.table.rates
         if is_limited and not grant.is_permit:
-            # The home had not heard yet of the limit.
+            # The home had not yet received the upstream's rate limit.
             return None
         if grant.lifetime in words.backoffs.active(self.state.timers.now()):
             return None
         is_watched = answer.standing is not Standing.FREE
         return Choice(row, 0, grant.prefill, grant.ahead, is_watched)
 
-    def _choose_alone(
+    def _choose_locally(
         self,
         service: str,
-        ask: RoutingRequest,
-    ) -> Outcome:
-        """Choose from what is known here.
+        routing_request: RoutingRequest,
+    ) -> ChoiceOutcome:
+        """Choose an upstream from local state.
 
-        Only the home tries suspects, and gives permits for upstreams that
-        name a limit.
+        Only the home puts suspect requests on trial and grants permits for
+        rate-limited upstreams.
         """
         state = self.state
         now = state.timers.now()
-        standing = state.crashes.standing(ask.identity, now)
-        if standing in WITHHELD:
+        standing = state.crashes.standing(routing_request.identity, now)
+        if standing in GRANT_REQUIRED:
             return standing
         words = state.words
         choice = choose(
             state.directory.serving(service),
-            ask,
+            routing_request,
             state.loads,
             state.prompts,
             now,
             words.table.rates.keys() | words.backoffs.active(now),
         )
-        if choice is None and is_any_limited(state, service, ask):
-            return RetryAfter(HOMELESS_SECONDS)
+        if choice is None and has_limited_candidate(
+            state, service, routing_request
+        ):
+            return RetryAfter(NO_HOME_RETRY_SECONDS)
         return choice
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -11,7 +11,11 @@
 import anyio
 import pytest
 from gateway_world import ask, in_world
-from spanfall_standins.gateway.upstream import ends_under, events, whole
+from spanfall_standins.gateway.upstream import (
+    complete_response,
+    crashes_on,
+    events,
+)
 
 DEADLY = b'deadly'
 #: Upstreams that crash before the request is quarantined.
@@ -22,7 +26,11 @@
 
 def ended(world):
     """Return the upstreams whose processes have ended."""
-    return [row for row in world.upstreams.values() if row.life.cancel_called]
+    return [
+        row
+        for row in world.upstreams.values()
+        if row.process_scope.cancel_called
+    ]
 
 
 async def send_again_and_again(world, gateways, path, attempts):
@@ -43,7 +51,7 @@
     @in_world
     async def play(world):
         for _ in range(12):
-            await world.add_upstream(ends_under(DEADLY, whole()))
+            await world.add_upstream(crashes_on(DEADLY, complete_response()))
         gateways = [await world.add_gateway() for _ in range(3)]
         answers = await send_again_and_again(world, gateways, path, 12)
         assert len(ended(world)) == QUARANTINED_AFTER
@@ -58,7 +66,7 @@
 @in_world
 async def test_requests_beside_the_cause_are_served(world):
     """Requests that fail along with the cause are not quarantined."""
-    behaviour = ends_under(DEADLY, events(1, 3))
+    behaviour = crashes_on(DEADLY, events(1, 3))
     for _ in range(8):
         await world.add_upstream(behaviour)
     gateways = [await world.add_gateway() for _ in range(2)]
--- a/tests/test_gateway_grants.py
+++ b/tests/test_gateway_grants.py
@@ -18,8 +18,11 @@
     GrantBook,
 )
 from spanfall_node.gateway.links.messages import GrantMessage
-from spanfall_node.gateway.upstreams.grants import ALONE_SECONDS, Grants
-from spanfall_standins.gateway.upstream import whole
+from spanfall_node.gateway.upstreams.grants import (
+    LOCAL_DECISION_SECONDS,
+    GrantClient,
+)
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_home import two_gateways
 
@@ -110,10 +113,10 @@
     """Simultaneous requests of two entries get different upstreams."""
     home, other = await two_gateways(world)
     for _ in range(2):
-        await world.add_upstream(whole())
+        await world.add_upstream(complete_response())
     await wait_until(lambda: len(home.directory.rows) == 2)
     await wait_until(lambda: len(other.directory.rows) == 2)
-    grants = Grants(home)
+    grants = GrantClient(home)
     asked = RoutingRequest('a1', 'north')
     first = await grants.choose(SERVICE, asked)
     home.loads.begin(first.upstream.upstream_id, 0)
@@ -128,7 +131,7 @@
 @in_world
 async def test_entry_chooses_locally_without_home(world):
     """The first request waits a bounded time; the next ones do not wait."""
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
     state.tenure = None
@@ -137,7 +140,7 @@
     async def never_answered(message):
         asked.append(message.number)
 
-    grants = Grants(state)
+    grants = GrantClient(state)
     grants.connect(never_answered)
     for number in range(3):
         choice = await grants.choose(
@@ -146,22 +149,22 @@
         assert choice is not None
     assert asked == [1]
     assert grants.load().seen == 1
-    await anyio.sleep(ALONE_SECONDS)
+    await anyio.sleep(LOCAL_DECISION_SECONDS)
     assert await grants.choose(SERVICE, RoutingRequest('a4', 'north'))
     assert asked == [1, 2]
 
 
 @in_world
 async def test_grant_of_removed_upstream_is_not_used(world):
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     state = await world.add_gateway()
     await wait_until(lambda: state.tenure is not None)
     state.tenure = None
-    grants = Grants(state)
+    grants = GrantClient(state)
 
     async def grant_gone(message):
         number = message.number
-        grants.learn(GrantMessage(number, Grant(number, 'gone', 0)))
+        grants.accept_answer(GrantMessage(number, Grant(number, 'gone', 0)))
 
     grants.connect(grant_gone)
     choice = await grants.choose(SERVICE, RoutingRequest('a1', 'north'))
--- a/tests/test_gateway_home.py
+++ b/tests/test_gateway_home.py
@@ -1,4 +1,4 @@
-"""One node is the home; entries follow it, and its end hurts nobody."""
+"""Test the election of the home and how entries follow and replace it."""
 
 import json
 
@@ -8,9 +8,9 @@
 from spanfall_core.gateway.known.reporting import report_period
 from spanfall_node.gateway.home.home_links import HomeLinks
 from spanfall_node.gateway.home.home_pace import (
-    MOST_OUTAGE_LOOKS,
+    MAX_OUTAGE_LOOKUPS_PER_SECOND,
     is_small,
-    look_period,
+    lookup_period,
 )
 from spanfall_node.gateway.home.leadership import Leadership
 from spanfall_node.gateway.links.messages import (
@@ -33,12 +33,12 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 
 
 async def two_gateways(world):
-    """Start two gateways; return the home and the other."""
+    """Start two gateways and return the home and the other node."""
     first = await world.add_gateway()
     second = await world.add_gateway()
     await wait_until(lambda: home_of(first, second) is not None)
@@ -53,14 +53,14 @@
     return holders[0] if len(holders) == 1 else None
 
 
-def test_a_large_fleet_reports_more_rarely():
+def test_a_large_fleet_reports_less_often():
     periods = [report_period(entries) for entries in (1, 50, 100, 570)]
     assert periods == [0.25, 0.25, 0.5, 2.85]
     ages = [round(old_proof(entries), 2) for entries in (1, 50, 100, 570)]
     assert ages == [1.1, 1.1, 1.35, 3.7]
 
 
-def test_a_large_fleet_reads_more_rarely():
+def test_a_large_fleet_reads_less_often():
     entries = (1, 9, 50, 87, 570)
     reads = [
         read_period(count, is_home=False, failing=False) for count in entries
@@ -71,26 +71,29 @@
     ]
     assert outage == [0.6, 0.6, 1.2, 2.0, 2.0]
     assert read_period(570, is_home=True, failing=True) == 0.6
-    looks = [look_period(0.3, count) for count in entries]
+    looks = [lookup_period(0.3, count) for count in entries]
     assert looks == [0.3, 0.3, 0.3, 0.3, 1.9]
-    outage = [look_period(0.8, count, MOST_OUTAGE_LOOKS) for count in entries]
+    outage = [
+        lookup_period(0.8, count, MAX_OUTAGE_LOOKUPS_PER_SECOND)
+        for count in entries
+    ]
     assert outage == [0.8, 0.8, 0.8, 1.0875, 2.5]
 
 
 @in_world
-async def test_a_store_that_is_away_gets_one_call(world):
-    """Listings wait until one call has told that the store is back."""
+async def test_a_failing_store_is_probed_by_one_call(world):
+    """Listings are suspended until a single call finds the store available."""
     state = await world.add_gateway()
-    world.store.failing = 503
+    world.store.error_status = 503
     await wait_until(lambda: not state.is_ready(state.timers.now()))
     listed = world.store.listings
     await anyio.sleep(2 * READ_PERIOD)
     assert world.store.listings == listed
-    world.store.failing = 0
+    world.store.error_status = 0
     await wait_until(lambda: world.store.listings > listed)
 
 
-def test_small_hosts_leave_the_home_to_others():
+def test_small_hosts_defer_to_others():
     hosts = [
         Host(),
         Host(processor_part=0.5, processor_speed=2, link_megabits=100),
@@ -101,13 +104,13 @@
 
 
 @in_world
-async def test_a_small_host_is_the_home_if_none_other(world):
+async def test_a_small_host_is_the_home_if_alone(world):
     state = await world.add_gateway(host=Host(link_megabits=5))
     await wait_until(lambda: state.is_home(state.timers.now()))
 
 
 @in_world
-async def test_a_large_host_goes_before_a_small_one(world):
+async def test_a_large_host_is_preferred_as_home(world):
     small = await world.add_unready_gateway(host=Host(link_megabits=5))
     large = await world.add_gateway()
     await wait_until(lambda: home_of(small, large) is not None)
@@ -122,8 +125,8 @@
 
 
 @in_world
-async def test_an_entry_hears_of_a_change(world):
-    """The home reads the store for all, and vouches for what it read."""
+async def test_an_entry_receives_a_configuration_change(world):
+    """Entries use the configuration that the home reads and confirms."""
     _, other = await two_gateways(world)
     version = world.configure(body_bytes=10)
     await wait_until(lambda: other.version == version)
@@ -132,9 +135,12 @@
 
 @in_world
 async def test_an_entry_reads_what_the_home_cannot(world):
-    """The home's configuration is new, its list of upstreams is not."""
+    """Guard against a stale upstream list of a home with a new configuration.
+
+    The entry must then read the listing from the store itself.
+    """
     home, other = await two_gateways(world)
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     await wait_until(lambda: upstream.lifetime in other.directory.rows)
     home.directory.apply = lambda *_: ()
     home.directory.mark_confirmed = lambda _: None
@@ -145,16 +151,17 @@
 
 @in_world
 async def test_a_home_that_resigns_is_followed(world):
-    """Entries keep what the old home said until the new one speaks."""
+    """Entries keep the old home's table until the new home sends one."""
     world.configure(workspaces=[PlainWorkspace('w', ['k'], 100, 100)])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     home, other = await two_gateways(world)
     await ask(other, '/keyed/7', authorization='Key k')
     await wait_until(lambda: bool(other.report().spending.levels))
     home.draining_since = home.timers.now()
-    # A claim that lost leaves a lease of its own, which nobody holds.
+    # A lost claim leaves an unused lease of its own, so check only the
+    # home's lease.
     lease = home.tenure.lease
-    await Leadership(home, _StoreOf(world), None).resign()
+    await Leadership(home, _LeaseRevoker(world), None).resign()
     assert not home.is_home(home.timers.now())
     assert lease not in world.store.leases
     await wait_until(lambda: other.is_home(other.timers.now()))
@@ -164,10 +171,11 @@
 
 
 @in_world
-async def test_a_home_hears_that_another_has_followed(world):
-    """Cut off from the store it could not read the new record.
+async def test_a_farewell_names_the_newer_home(world):
+    """Guard against a home that misses its successor during a store outage.
 
-    Its counts of usage and its callers were lost until the store was back.
+    Cut off from the store it cannot read the new record. Without the farewell
+    its usage counts and its callers were lost until the store was back.
     """
     world.configure()
     home, other = await two_gateways(world)
@@ -186,23 +194,23 @@
     assert home.tenure is None
 
 
-class _StoreOf:
-    """End leases of the stand-in store directly."""
+class _LeaseRevoker:
+    """Revoke leases of the stand-in store directly."""
 
     def __init__(self, world):
         self._world = world
 
     async def revoke(self, timeline, lease):
-        self._world.store.end(lease)
+        self._world.store.end_lease(lease)
 
 
 @in_world
-async def test_a_record_that_is_gone_ends_a_tenure(world):
-    """A home whose lease ended acts no more, and one is found again."""
+async def test_a_lost_lease_ends_a_tenure(world):
+    """A home whose lease has expired stops acting, and a home is elected."""
     home, other = await two_gateways(world)
     ended = home.tenure
     for lease in list(world.store.leases):
-        world.store.end(lease)
+        world.store.end_lease(lease)
     await wait_until(lambda: ended.resigned)
     assert not ended.may_give(home.timers.now())
     await wait_until(lambda: home_of(home, other) is not None)
@@ -211,7 +219,7 @@
 
 @in_world
 async def test_a_restarted_home_takes_over_at_once(world):
-    """The record of its own earlier run need not run out."""
+    """It does not wait for the lease of its own earlier run to expire."""
     record = {'node': 'node-1', 'address': '127.0.0.1:1', 'incarnation': 'old'}
     world.store.leases[7] = (1000, 0)
     old = world.store.put(home_key(0), json.dumps(record), 7)
@@ -222,18 +230,18 @@
 
 @in_world
 async def test_a_store_that_grants_long_leases_only(world):
-    world.store.least_lease_ms = 4000
+    world.store.min_lease_ms = 4000
     state = await world.add_gateway(least_lease_seconds=4)
     await wait_until(lambda: state.is_home(state.timers.now()))
 
 
 @in_world
-async def test_a_lost_answer_to_the_claim_is_settled(world):
-    """The record may be ours though no answer came; only its lease tells."""
-    world.store.loses_answers = True
+async def test_a_lost_answer_to_the_claim_is_resolved(world):
+    """A claim without an answer may be written; the lease identifies it."""
+    world.store.drops_responses = True
     state = await world.add_unready_gateway()
     await wait_until(lambda: len(world.store.leases) > 0)
-    world.store.loses_answers = False
+    world.store.drops_responses = False
     await wait_until(lambda: state.is_home(state.timers.now()))
 
 
@@ -248,9 +256,12 @@
 
 @in_world
 async def test_an_entry_that_starts_reads_no_listing(world):
-    """The home tells all; hundreds of restarts cost the store one look each."""
+    """The home sends all tables, so a restart costs the store one call.
+
+    Without this, hundreds of restarting entries would each read the listing.
+    """
     world.configure()
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
     home = await world.add_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
     own = home.counters.registry.get_sample_value
@@ -262,8 +273,8 @@
 
 
 @in_world
-async def test_entries_hear_that_none_is_configured(world):
-    """Until the operator has written one, only the home asks for it."""
+async def test_entries_receive_that_none_is_configured(world):
+    """Until a configuration is written, only the home looks it up."""
     world.store.remove(CONFIGURATION_KEY)
     home = await world.add_unready_gateway()
     await wait_until(lambda: home.is_home(home.timers.now()))
@@ -277,8 +288,8 @@
 
 
 @in_world
-async def test_a_home_that_starts_waits_for_nobody(world):
-    """After a restart of all, every other node waits for its table."""
+async def test_a_starting_home_reads_at_once(world):
+    """After a restart of the fleet all other nodes wait for its table."""
     state = await world.add_unready_gateway()
     await wait_until(lambda: state.tenure is not None)
     began_at = state.tenure.began_at
--- a/tests/test_gateway_named_limit.py
+++ b/tests/test_gateway_named_limit.py
@@ -10,7 +10,7 @@
 
 import anyio
 import pytest
-from arrivals import note_arrivals
+from arrivals import record_arrivals
 from gateway_world import ask, in_world
 from named_limit_checker import (
     WINDOW_SECONDS,
@@ -18,8 +18,8 @@
     arrivals_after_limit,
     max_in_window,
 )
-from spanfall_node.gateway.upstreams.choosing import TURN_STEP
-from spanfall_standins.gateway.upstream import whole
+from spanfall_node.gateway.upstreams.choosing import MIN_PERMIT_WAIT_SECONDS
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_succession import ending_gateway, is_home
 
@@ -37,7 +37,7 @@
     """Record what callers and one upstream observe."""
 
     def __init__(self, upstream):
-        self.arrivals = note_arrivals(upstream)
+        self.arrivals = record_arrivals(upstream)
         self.passed_on = {}
         self.statuses = []
         self.retry_after_seconds = []
@@ -72,7 +72,7 @@
     """Let upstreams name a limit; return an observer and the time."""
     observer = Observer(upstreams[0])
     for upstream in upstreams:
-        upstream.says = {'takes-a-second': str(rate)}
+        upstream.statement_headers = {'takes-a-second': str(rate)}
     return observer, anyio.current_time()
 
 
@@ -86,7 +86,9 @@
 def test_an_upstream_gets_the_limit_that_it_names(rate):
     @in_world
     async def play(world):
-        upstreams = [await world.add_upstream(whole()) for _ in range(4)]
+        upstreams = [
+            await world.add_upstream(complete_response()) for _ in range(4)
+        ]
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
         observer, named_at = name_limit(upstreams[:1], rate)
         await call_all(observer, gateways, LOAD_SECONDS)
@@ -106,7 +108,9 @@
 async def test_refused_callers_get_a_retry_after(world):
     """All upstreams name a limit, and the home ends during the load."""
     rate = 3
-    upstreams = [await world.add_upstream(whole()) for _ in range(2)]
+    upstreams = [
+        await world.add_upstream(complete_response()) for _ in range(2)
+    ]
     async with ending_gateway(world) as (home, life):
         await wait_until(lambda: is_home(home))
         gateways = [await world.add_gateway() for _ in range(ENTRIES)]
@@ -130,15 +134,16 @@
     assert set(observer.statuses) == {200, 503}
     retry_after = observer.retry_after_seconds
     assert all(
-        TURN_STEP <= seconds <= WINDOW_SECONDS + 1 for seconds in retry_after
+        MIN_PERMIT_WAIT_SECONDS <= seconds <= WINDOW_SECONDS + 1
+        for seconds in retry_after
     )
 
 
 @in_world
 async def test_a_withdrawn_limit_is_no_longer_enforced(world):
-    upstream = await world.add_upstream(whole())
+    upstream = await world.add_upstream(complete_response())
     gateways = [await world.add_gateway() for _ in range(2)]
-    upstream.says = {'takes-a-second': '0.5'}
+    upstream.statement_headers = {'takes-a-second': '0.5'}
     lifetime = upstream.lifetime
     await ask(gateways[0], '/any/1', attempt='a')
     await wait_until(
@@ -146,7 +151,7 @@
     )
     refused = await ask(gateways[1], '/any/1', attempt='b')
     assert refused.status == 503
-    upstream.says = {}
+    upstream.statement_headers = {}
     statuses = []
     while 200 not in statuses:
         answer = await ask(gateways[1], '/any/1', attempt='c')
--- a/tests/test_gateway_restore_courses.py
+++ b/tests/test_gateway_restore_courses.py
@@ -1,8 +1,8 @@
-"""Play drawn courses of a store that comes back from copies.
+"""Test random sequences of outages and restores of the store.
 
-The store goes away and comes back from a copy up to some seconds old, changes
-are made before and after, one upstream leaves, the home ends; what was lost is
-written again. CI plays one seed; more by hand:
+The store fails and is restored from a copy that is up to some seconds old.
+The configuration changes before and after, one upstream leaves, and the home
+is stopped; lost records are written again. CI runs one seed; run more with:
 
     SPANFALL_SEEDS=20 .venv/bin/pytest tests/test_gateway_restore_courses.py
 """
@@ -19,7 +19,7 @@
     UPSTREAM_PREFIX,
     PlainWorkspace,
 )
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_store_restore import let_leave
 from test_gateway_succession import is_home
@@ -29,51 +29,54 @@
 SECONDS = 12.0
 ENTRIES = 3
 UPSTREAMS = 3
-#: Seconds between two copies, and copies that are kept.
+#: Seconds between two copies, and the number of copies that are kept.
 COPY_PERIOD = 0.5
 COPIES = 8
-#: Writes of others between two copies, so that revisions go far back.
-OTHERS_WRITES = 100
-LONGEST_OUTAGE = 3.0
-#: Seconds after a restore within which what was lost is written again.
-WRITTEN_AGAIN = 1.0
-LOOK_PERIOD = 0.02
+#: Foreign writes between two copies, so that a restore lowers the revision
+#: considerably.
+FOREIGN_WRITES = 100
+MAX_OUTAGE_SECONDS = 3.0
+#: Maximum seconds after a restore until lost records are written again.
+MAX_REWRITE_DELAY = 1.0
+OBSERVE_PERIOD = 0.02
 PAUSE = 0.05
 KEY = {'authorization': 'Key k'}
 BOUNDS = {'usage_window_seconds': 1.0, 'duty_lease_seconds': 1.0}
 
 
-def is_over(until):
+def is_past(until):
     return anyio.current_time() >= until
 
 
 def entry_key(upstream):
-    """Return the key of an upstream's entry."""
+    """Return the store key of an upstream's entry."""
     return f'{UPSTREAM_PREFIX}{upstream.lifetime}'
 
 
 def may_give(state):
-    """Tell whether a node may give units of limits."""
+    """Tell whether a node may allocate units of limits."""
     now = state.timers.now()
     return state.tenure is not None and state.tenure.may_give(now)
 
 
-class Course:
-    """Hold a fleet, and what the operator and the upstreams wrote."""
+class RestoreScenario:
+    """Hold a fleet and the records that operator and upstreams wrote."""
 
-    def __init__(self, world, luck):
+    def __init__(self, world, rng):
         self.world = world
-        self.luck = luck
+        self.rng = rng
         self.gateways = []
         self.upstreams = []
-        self.leaver = None
+        self.leaving_upstream = None
         self.statuses = set()
-        #: Versions that came into force at each node, and most givers seen.
+        #: Versions in force at each node in order, and the largest number of
+        #: nodes that could allocate units at the same time.
         self.versions = {}
-        self.most_givers = 0
-        #: Nodes that knew that the leaver leaves, and those that forgot it.
-        self.told = set()
-        self.forgetful = set()
+        self.max_allocators = 0
+        #: Nodes that had excluded the leaving upstream, and those that used it
+        #: again later.
+        self.informed = set()
+        self.forgot = set()
         self.written = {}
         self.copies = deque(maxlen=COPIES)
         self.life = anyio.CancelScope()
@@ -82,48 +85,50 @@
         workspaces = [PlainWorkspace('w', ['k'], 1e6, 1e6)]
         self.world.configure(workspaces=workspaces)
         for _ in range(UPSTREAMS):
-            self.upstreams.append(await self.world.add_upstream(whole()))
+            self.upstreams.append(
+                await self.world.add_upstream(complete_response())
+            )
         home = await self.world.add_ending_gateway(self.life, **BOUNDS)
         await wait_until(lambda: is_home(home))
         self.gateways.append(home)
         for _ in range(ENTRIES - 1):
             self.gateways.append(await self.world.add_gateway(**BOUNDS))
         for key in (CONFIGURATION_KEY, *map(entry_key, self.upstreams)):
-            self.note_written(key)
+            self.record_written(key)
 
-    def note_written(self, key):
-        """Note what the operator or an upstream has just written."""
+    def record_written(self, key):
+        """Record what the operator or an upstream has just written."""
         self.written[key] = self.world.store.items[key].content
 
-    async def look(self, until):
-        while not is_over(until):
+    async def observe(self, until):
+        while not is_past(until):
             for state in self.gateways:
                 versions = self.versions.setdefault(state.cfg.node, [])
                 if not versions or versions[-1] != state.version:
                     versions.append(state.version)
-            self.look_for_leaver()
-            givers = [row for row in self.gateways if may_give(row)]
-            self.most_givers = max(self.most_givers, len(givers))
-            await anyio.sleep(LOOK_PERIOD)
+            self.observe_leaving_upstream()
+            allocators = [row for row in self.gateways if may_give(row)]
+            self.max_allocators = max(self.max_allocators, len(allocators))
+            await anyio.sleep(OBSERVE_PERIOD)
 
-    def look_for_leaver(self):
-        if self.leaver is None:
+    def observe_leaving_upstream(self):
+        if self.leaving_upstream is None:
             return
         for state, known in zip(self.gateways, self.serving(), strict=True):
-            if self.leaver.lifetime not in known:
-                self.told.add(state.cfg.node)
-            elif state.cfg.node in self.told:
-                self.forgetful.add(state.cfg.node)
+            if self.leaving_upstream.lifetime not in known:
+                self.informed.add(state.cfg.node)
+            elif state.cfg.node in self.informed:
+                self.forgot.add(state.cfg.node)
 
-    async def copy_often(self, until):
-        while not is_over(until):
+    async def copy_periodically(self, until):
+        while not is_past(until):
             self.copies.append(self.world.store.copy())
-            self.world.store.revision += OTHERS_WRITES
+            self.world.store.revision += FOREIGN_WRITES
             await anyio.sleep(COPY_PERIOD)
 
-    async def call_often(self, until):
+    async def call_periodically(self, until):
         number = 0
-        while not is_over(until):
+        while not is_past(until):
             number += 1
             state = self.gateways[number % len(self.gateways)]
             await self._call(state, number)
@@ -138,83 +143,87 @@
         if state in self.gateways:
             self.statuses.add(answer.status)
 
-    async def change_often(self, until):
+    async def change_periodically(self, until):
         events = [self._leave, self._end_home, self._add_upstream]
-        self.luck.shuffle(events)
-        while not is_over(until):
-            await anyio.sleep(self.luck.uniform(0.1, 1.0))
-            if self.world.store.failing:
+        self.rng.shuffle(events)
+        while not is_past(until):
+            await anyio.sleep(self.rng.uniform(0.1, 1.0))
+            if self.world.store.error_status:
                 continue
             self.world.configure()
-            self.note_written(CONFIGURATION_KEY)
-            if events and self.luck.random() < 0.25:
+            self.record_written(CONFIGURATION_KEY)
+            if events and self.rng.random() < 0.25:
                 await events.pop()()
 
     async def _add_upstream(self):
-        newer = await self.world.add_upstream(whole())
+        newer = await self.world.add_upstream(complete_response())
         self.upstreams.append(newer)
-        self.note_written(entry_key(newer))
+        self.record_written(entry_key(newer))
 
     async def _leave(self):
-        self.leaver = self.luck.choice(self.upstreams)
-        let_leave(self.world, self.leaver)
-        self.note_written(entry_key(self.leaver))
+        self.leaving_upstream = self.rng.choice(self.upstreams)
+        let_leave(self.world, self.leaving_upstream)
+        self.record_written(entry_key(self.leaving_upstream))
 
     async def _end_home(self):
         self.gateways.pop(0)
         self.life.cancel()
 
-    async def restore_often(self, until):
+    async def restore_periodically(self, until):
         store = self.world.store
-        while not is_over(until):
-            await anyio.sleep(self.luck.uniform(1, 4))
-            store.failing = self.luck.choice((0, 503))
-            await anyio.sleep(self.luck.uniform(0, LONGEST_OUTAGE))
-            store.restore(self.luck.choice(self.copies))
-            # Only copies of the new timeline are made from now on.
+        while not is_past(until):
+            await anyio.sleep(self.rng.uniform(1, 4))
+            store.error_status = self.rng.choice((0, 503))
+            await anyio.sleep(self.rng.uniform(0, MAX_OUTAGE_SECONDS))
+            store.restore(self.rng.choice(self.copies))
+            # From now on only copies of the new timeline are used.
             self.copies.clear()
             self.copies.append(store.copy())
-            store.failing = 0
-            await anyio.sleep(self.luck.uniform(0, WRITTEN_AGAIN))
-            self.write_again()
+            store.error_status = 0
+            await anyio.sleep(self.rng.uniform(0, MAX_REWRITE_DELAY))
+            self.rewrite_lost()
 
-    def write_again(self):
-        """Write what the restored store does not hold any more."""
+    def rewrite_lost(self):
+        """Write again the records that the restored store has lost."""
         store = self.world.store
         for key, content in self.written.items():
             if key not in store.items or store.items[key].content != content:
                 store.put(key, content)
 
     def serving(self):
-        """Return the upstreams that each node sends to."""
+        """Return the serving upstreams of each node."""
         return [
             {row.lifetime for row in state.directory.serving(SERVICE)}
             for state in self.gateways
         ]
 
-    def knows(self, version, upstreams):
-        """Tell whether all nodes know what was written last."""
+    def all_have(self, version, upstreams):
+        """Tell whether all nodes have the version and upstreams given."""
         versions = {state.version for state in self.gateways}
         return versions == {version} and all(
             row == upstreams for row in self.serving()
         )
 
     def expected(self):
-        return {row.lifetime for row in self.upstreams if row != self.leaver}
+        return {
+            row.lifetime
+            for row in self.upstreams
+            if row != self.leaving_upstream
+        }
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
-def test_no_course_of_restores_breaks_a_promise(seed):
+def test_random_restores_keep_the_guarantees(seed):
     @in_world
     async def play(world):
-        course = Course(world, Random(seed))
-        await course.start()
-        await play_course(course, world)
-        for versions in course.versions.values():
+        scenario = RestoreScenario(world, Random(seed))
+        await scenario.start()
+        await run_scenario(scenario, world)
+        for versions in scenario.versions.values():
             assert versions == sorted(versions)
-        assert course.most_givers == 1
-        assert not course.forgetful
-        assert course.statuses <= {200, 429, 503}
+        assert scenario.max_allocators == 1
+        assert not scenario.forgot
+        assert scenario.statuses <= {200, 429, 503}
         tokens = [call['token'] for call in world.cloud_calls]
         assert tokens == sorted(tokens)
         reports = counts_by_window(world)
@@ -223,23 +232,23 @@
     play()
 
 
-async def play_course(course, world):
-    """Play a course; in the end all nodes know what was written last."""
+async def run_scenario(scenario, world):
+    """Run a scenario until all nodes have the records written last."""
     until = anyio.current_time() + SECONDS
     parts = (
-        course.look,
-        course.copy_often,
-        course.call_often,
-        course.change_often,
-        course.restore_often,
+        scenario.observe,
+        scenario.copy_periodically,
+        scenario.call_periodically,
+        scenario.change_periodically,
+        scenario.restore_periodically,
     )
     async with anyio.create_task_group() as tasks:
         for part in parts:
             tasks.start_soon(part, until)
-    course.write_again()
+    scenario.rewrite_lost()
     version = world.configuration.version
-    expected = course.expected()
+    expected = scenario.expected()
     with anyio.fail_after(SECONDS):
-        await wait_until(lambda: course.knows(version, expected))
+        await wait_until(lambda: scenario.all_have(version, expected))
         reported = len(world.cloud_calls)
         await wait_until(lambda: len(world.cloud_calls) > reported)
--- a/tests/test_gateway_usage_restore.py
+++ b/tests/test_gateway_usage_restore.py
@@ -6,12 +6,12 @@
 from gateway_world import ask, in_world
 from spanfall_node.gateway.duties.duties import (
     USAGE_KEY,
-    Cloud,
-    UsageDuty,
+    CloudClient,
     UsageRecord,
+    UsageReporter,
 )
 from spanfall_standins.gateway.dialect import PlainWorkspace
-from spanfall_standins.gateway.upstream import whole
+from spanfall_standins.gateway.upstream import complete_response
 from support import wait_until
 from test_gateway_store_restore import store_client
 from test_gateway_succession import ending_gateway, is_home
@@ -46,7 +46,7 @@
 
 async def add_workspace_and_upstream(world):
     world.configure(workspaces=[PlainWorkspace('w', ['k'])])
-    await world.add_upstream(whole())
+    await world.add_upstream(complete_response())
 
 
 # Guards against reporting a window again with other counts, because the record
@@ -107,7 +107,7 @@
     home = await world.add_gateway(**BOUNDS)
     await wait_until(lambda: is_home(home))
     async with store_client(world) as store:
-        duty = UsageDuty(home, store, Cloud(home, None))
+        duty = UsageReporter(home, store, CloudClient(home, None))
         first = home.tenure
         assert first.is_first
         await duty._take_over(first)
