--- a/packages/spanfall-core/src/spanfall_core/admission.py
+++ b/packages/spanfall-core/src/spanfall_core/admission.py
@@ -1,7 +1,7 @@
-"""Decide whether a request may enter the queue of its pool.
+"""Decide whether a request is admitted to the queue of its pool.
 
-Limits are checked in the order rate, concurrency, queue, deadline, so that a
-refusal names the first limit that the caller can do something about.
+Limits are checked in the order rate, concurrency, queue length, deadline, so
+that a refusal names the first limit that the caller can act on.
 """
 
 from heapq import heappush
@@ -17,26 +17,26 @@
 )
 from spanfall_core.upstreams import usable_slots
 
-#: Longest Retry-After that a refusal suggests, in seconds.
+#: Upper bound of the Retry-After of a refusal, in seconds.
 MAX_RETRY_AFTER = 30.0
-#: Retry-After where nothing better is known, in seconds.
-DEFAULT_RETRY_AFTER = 1.0
-#: Least work that a request counts for, in seconds of a slot.
-LEAST_WORK = 0.01
+#: Lower bound of the Retry-After of a refusal, in seconds.
+MIN_RETRY_AFTER = 1.0
+#: Lower bound of the estimated work of a request, in slot-seconds.
+MIN_WORK_SECONDS = 0.01
 
 
 def refill_bucket(workspace: Workspace, now: float) -> None:
-    """Add the tokens that the workspace earned since the last refill."""
-    earned = (now - workspace.refilled_at) * workspace.rate
-    workspace.bucket = min(workspace.burst, workspace.bucket + max(0, earned))
+    """Add the tokens accrued since the last refill to the token bucket."""
+    accrued = (now - workspace.refilled_at) * workspace.rate
+    workspace.bucket = min(workspace.burst, workspace.bucket + max(0, accrued))
     workspace.refilled_at = now
 
 
 def expected_wait(pool: Pool, req: Request, now: float) -> float:
     """Estimate the seconds until a request queued now is dispatched.
 
-    Its workspace gets a share of the slots by weight, among the workspaces
-    that have work queued; only work of its priority or above is ahead of it.
+    The slots are divided by weight among the workspaces with queued requests.
+    Within its workspace, only work of the same or a higher priority is ahead.
     """
     slots = usable_slots(pool, now)
     busy = sum(row.in_flight for row in pool.upstreams.values())
@@ -49,11 +49,14 @@
         if priority >= req.priority
     )
     next_free = mean_run_seconds(pool) / slots
-    return next_free + ahead / (slots * share_of(pool, workspace))
+    return next_free + ahead / (slots * slot_share(pool, workspace))
 
 
-def share_of(pool: Pool, workspace: Workspace) -> float:
-    """Return the share of the slots that a workspace gets when all queue."""
+def slot_share(pool: Pool, workspace: Workspace) -> float:
+    """Return the fraction of the slots that a workspace gets by its weight.
+
+    Only the other workspaces with queued requests compete for the slots.
+    """
     others = sum(
         row.weight
         for row in pool.workspaces.values()
@@ -63,7 +66,10 @@
 
 
 def mean_run_seconds(pool: Pool) -> float:
-    """Estimate how long a request occupies a slot, from measured averages."""
+    """Estimate how long a request occupies a slot, in seconds.
+
+    The estimate is the mean of the moving averages of all upstreams.
+    """
     rows = pool.upstreams.values()
     if not rows:
         return 0.0
@@ -71,12 +77,12 @@
 
 
 def estimate_work(pool: Pool, req: Request) -> float:
-    """Estimate the seconds for which a request will occupy a slot."""
+    """Estimate how long this request will occupy a slot, in seconds."""
     rows = pool.upstreams.values()
     if req.kind is ServiceKind.APPLICATION or not rows:
-        return max(LEAST_WORK, mean_run_seconds(pool))
+        return max(MIN_WORK_SECONDS, mean_run_seconds(pool))
     token_seconds = sum(row.token_seconds for row in rows) / len(rows)
-    return max(LEAST_WORK, expected_tokens(req) * token_seconds)
+    return max(MIN_WORK_SECONDS, expected_tokens(req) * token_seconds)
 
 
 def check_limits(
@@ -85,12 +91,15 @@
     req: Request,
     now: float,
 ) -> tuple[RefusalReason, float] | None:
-    """Return the first limit that the request exceeds and when to retry."""
+    """Return the first limit that the request exceeds, or None.
+
+    The second value is the number of seconds after which to retry.
+    """
     if workspace.rate:
         refill_bucket(workspace, now)
         if workspace.bucket < 1:
-            missing = (1 - workspace.bucket) / workspace.rate
-            return RefusalReason.RATE_LIMITED, missing
+            seconds_to_refill = (1 - workspace.bucket) / workspace.rate
+            return RefusalReason.RATE_LIMITED, seconds_to_refill
     in_use = workspace.running + workspace.queued
     limit = workspace.max_running + workspace.max_queued
     if workspace.max_running and in_use >= limit:
@@ -106,16 +115,16 @@
 def admit(pool: Pool, req: Request, now: float) -> list[Effect]:
     """Queue the request, or refuse it as not run.
 
-    A request that was accepted elsewhere and is handed over (attempt above
-    one) is never refused by a limit: it has been counted before.
+    A request that another home admitted and handed over (attempt above one)
+    is not checked against the limits: it has already been counted.
     """
     workspace = find_workspace(pool, req.workspace)
-    over = None
+    exceeded = None
     if req.attempt == 1:
-        over = check_limits(pool, workspace, req, now)
-    if over is not None:
-        reason, wait = over
-        retry_after = min(MAX_RETRY_AFTER, max(DEFAULT_RETRY_AFTER, wait))
+        exceeded = check_limits(pool, workspace, req, now)
+    if exceeded is not None:
+        reason, wait = exceeded
+        retry_after = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait))
         return [Refuse(req.request_id, reason, retry_after=retry_after)]
     if workspace.rate and req.attempt == 1:
         workspace.bucket -= 1
@@ -127,7 +136,7 @@
 
 
 def find_workspace(pool: Pool, name: str) -> Workspace:
-    """Return the row of a workspace, made without limits if unknown."""
+    """Return the row of a workspace; create one without limits if missing."""
     workspace = pool.workspaces.get(name)
     if workspace is None:
         workspace = Workspace(name)
@@ -136,7 +145,10 @@
 
 
 def enqueue(pool: Pool, req: Request) -> None:
-    """Put the request into its workspace's queue, by priority and deadline."""
+    """Add the request to the queue of its workspace.
+
+    The queue is ordered by priority, then by due time.
+    """
     workspace = find_workspace(pool, req.workspace)
     queue = pool.queues.setdefault(req.workspace, [])
     if not workspace.queued and not workspace.running:
@@ -157,22 +169,22 @@
     pool.queued += 1
 
 
-def note_dequeued(pool: Pool, req: Request) -> None:
-    """Take a request out of the counts of its queue."""
+def record_dequeued(pool: Pool, req: Request) -> None:
+    """Subtract a request from the counts of its queue."""
     workspace = pool.workspaces[req.workspace]
     workspace.queued -= 1
-    left = workspace.queued_work[req.priority] - req.work
-    workspace.queued_work[req.priority] = left
+    remaining_work = workspace.queued_work[req.priority] - req.work
+    workspace.queued_work[req.priority] = remaining_work
     if not workspace.queued:
         workspace.queued_work.clear()
     pool.queued -= 1
 
 
 def due_time(req: Request) -> float:
-    """Return when a queued request is refused.
+    """Return the time at which a request is refused if it is still queued.
 
-    The deadline bounds the begin of an answer; a stream that has begun is
-    bounded only by the longest life of a request.
+    The deadline applies to the start of the response. A stream that has
+    started is limited only by the maximum lifetime of a request.
     """
     if req.progress or req.deadline is None:
         return req.expires_at
@@ -180,7 +192,7 @@
 
 
 def expected_tokens(req: Request) -> int:
-    """Return how many tokens the request may still produce."""
+    """Return the maximum number of tokens still to be generated."""
     if req.kind is ServiceKind.APPLICATION:
         return 0
     return max(0, req.max_tokens - req.progress)
--- a/packages/spanfall-core/src/spanfall_core/placement.py
+++ b/packages/spanfall-core/src/spanfall_core/placement.py
@@ -1,7 +1,7 @@
 """Choose the homes of a service by rendezvous hashing.
 
-Each node computes the same order from the same member list, and a node that
-joins or leaves moves only the services it gains or held (Thaler and
+All nodes with the same member list compute the same order. A node that joins
+or leaves moves only the services that it gains or loses (Thaler and
 Ravishankar, 1998).
 """
 
@@ -11,25 +11,27 @@
 
 from xxhash import xxh3_64_intdigest
 
-#: Homes of one service: one acts, the others stand by (DESIGN, Processes).
+#: Homes per service: one active, the others standby (DESIGN, Processes).
 HOMES_PER_SERVICE = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Name a node and its data centre as a candidate for a home."""
+class HomeCandidate:
+    """Describe a node that is eligible as a home, with its data centre."""
 
     node_id: str
     data_centre: str
 
 
-def rank_places(service: str, places: Iterable[Place]) -> list[Place]:
-    """Order the places by their rendezvous score for the service."""
+def rank_candidates(
+    service: str, candidates: Iterable[HomeCandidate]
+) -> list[HomeCandidate]:
+    """Sort the candidates by their rendezvous score for the service."""
     return sorted(
-        places,
-        key=lambda place: (
-            xxh3_64_intdigest(f'{service}\0{place.node_id}'.encode()),
-            place.node_id,
+        candidates,
+        key=lambda candidate: (
+            xxh3_64_intdigest(f'{service}\0{candidate.node_id}'.encode()),
+            candidate.node_id,
         ),
         reverse=True,
     )
@@ -37,20 +39,25 @@
 
 def choose_homes(
     service: str,
-    places: Iterable[Place],
+    candidates: Iterable[HomeCandidate],
     count: int = HOMES_PER_SERVICE,
 ) -> tuple[str, ...]:
-    """Return the node ids of the homes, acting home first.
+    """Return the node ids of the homes, the active home first.
 
-    Later homes come from data centres not used yet while there are any.
+    Each standby home is in a data centre that has no home of the service yet,
+    as long as there is one.
     """
-    ranked = rank_places(service, places)
+    ranked = rank_candidates(service, candidates)
     seen: set[str] = set()
-    fresh: list[Place] = []
-    other: list[Place] = []
-    for place in ranked:
-        chosen = other if place.data_centre in seen else fresh
-        chosen.append(place)
-        seen.add(place.data_centre)
-    chosen_places = islice(fresh + other, count)
-    return tuple(row.node_id for row in chosen_places)
+    new_data_centre: list[HomeCandidate] = []
+    same_data_centre: list[HomeCandidate] = []
+    for candidate in ranked:
+        group = (
+            same_data_centre
+            if candidate.data_centre in seen
+            else new_data_centre
+        )
+        group.append(candidate)
+        seen.add(candidate.data_centre)
+    homes = islice(new_data_centre + same_data_centre, count)
+    return tuple(row.node_id for row in homes)
--- a/packages/spanfall-core/src/spanfall_core/reclaim.py
+++ b/packages/spanfall-core/src/spanfall_core/reclaim.py
@@ -1,8 +1,9 @@
-"""Choose what to do with the streams of an upstream that leaves.
+"""Decide what happens to the streams of an upstream that is leaving.
 
-For each stream the ways are: finish in place, move its KV cache to another
-upstream, or resume elsewhere from the prompt and the tokens so far. The
-cheapest by the weights of the deployment is taken.
+A stream can finish in place, move with its KV cache to another upstream, or
+resume elsewhere from the prompt and the tokens generated so far. A stream that
+can't finish in time takes the cheaper of the other two, by the weights of the
+policy.
 """
 
 from dataclasses import dataclass
@@ -13,9 +14,9 @@
 from spanfall_core.reasons import RetryReason
 from spanfall_core.recovery import requeue
 from spanfall_core.routing import (
-    forget_prefixes,
+    drop_prefixes,
     free_upstreams,
-    remember_prefix,
+    record_prefix,
     score,
     uncached_tokens,
 )
@@ -28,13 +29,14 @@
     UpstreamState,
 )
 
-#: Part of the notice kept free, so that a stream ends before the host does.
-SAFETY_SECONDS = 0.5
+#: Margin before the end of the notice, in seconds, so that a stream ends
+#: before its host does.
+SAFETY_MARGIN_SECONDS = 0.5
 
 
 @unique
-class Way(StrEnum):
-    """Name the ways to treat a stream of a leaving upstream."""
+class EvacuationAction(StrEnum):
+    """List the actions for a stream of a leaving upstream."""
 
     FINISH = 'finish'
     MOVE = 'move'
@@ -42,10 +44,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """Hold the way chosen for one stream and its target, if it moves."""
+class EvacuationDecision:
+    """Hold the action for one stream, and the target upstream of a move."""
 
-    way: Way
+    action: EvacuationAction
     target: Upstream | None = None
 
 
@@ -55,7 +57,11 @@
     incarnation: int,
     leaves_at: float,
 ) -> bool:
-    """Stop new work to an upstream; return whether this was news."""
+    """Mark an upstream as leaving; return whether the notice was new.
+
+    A notice for an older incarnation is ignored. If the upstream is no longer
+    active, the earlier of the two end times is kept.
+    """
     row = pool.upstreams.get(upstream_id)
     if row is None or incarnation < row.incarnation:
         return False
@@ -69,7 +75,7 @@
 
 
 def evacuate(pool: Pool, upstream_id: str, now: float) -> list[Effect]:
-    """Return the effects that save the streams of a leaving upstream."""
+    """Return the effects that evacuate the streams of a leaving upstream."""
     row = pool.upstreams[upstream_id]
     runs = [
         req
@@ -79,71 +85,75 @@
     return [
         effect
         for req in runs
-        for effect in apply_choice(
+        for effect in apply_decision(
             pool,
             req,
-            choose_way(pool, req, row, now),
+            choose_action(pool, req, row, now),
             now,
         )
     ]
 
 
 def remaining_seconds(req: Request, row: Upstream, now: float) -> float:
-    """Estimate how long the run needs to end on its upstream."""
+    """Estimate the seconds until the run completes on its upstream."""
     if req.kind is ServiceKind.APPLICATION:
         return max(0, row.call_seconds - (now - req.dispatched_at))
     return max(0, req.max_tokens - req.progress) * row.token_seconds
 
 
-def choose_way(
+def choose_action(
     pool: Pool,
     req: Request,
     row: Upstream,
     now: float,
-) -> Choice:
-    """Choose the cheapest way that keeps the request whole.
+) -> EvacuationDecision:
+    """Choose the cheapest action that loses no part of the response.
 
-    Applications have no state to move: their calls finish in place, and
-    what the end of the host cuts short is decided by recovery.
+    Applications have no state to move: their calls finish in place, and the
+    recovery module handles those that the end of the host interrupts.
     """
     until = float('inf') if row.leaves_at is None else row.leaves_at
-    left = until - now - SAFETY_SECONDS
-    needed = remaining_seconds(req, row, now)
-    if req.kind is ServiceKind.APPLICATION or needed <= left:
-        return Choice(Way.FINISH)
+    seconds_left = until - now - SAFETY_MARGIN_SECONDS
+    seconds_needed = remaining_seconds(req, row, now)
+    if req.kind is ServiceKind.APPLICATION or seconds_needed <= seconds_left:
+        return EvacuationDecision(EvacuationAction.FINISH)
     rows = free_upstreams(pool, req, now)
-    if not rows or left < pool.policy.export_seconds:
-        return Choice(Way.RESUME)
+    if not rows or seconds_left < pool.policy.export_seconds:
+        return EvacuationDecision(EvacuationAction.RESUME)
     if 'kv-move' in pool.policy.disabled:
-        return Choice(Way.RESUME)
+        return EvacuationDecision(EvacuationAction.RESUME)
     target = min(
         rows,
         key=lambda other: (score(pool, req, other), other.upstream_id),
     )
-    lost = uncached_tokens(pool, req, target)
-    redo = lost * pool.policy.prefill_token_seconds
-    move_is_cheaper = pool.policy.export_seconds < redo * (
+    uncached = uncached_tokens(pool, req, target)
+    recompute_seconds = uncached * pool.policy.prefill_token_seconds
+    move_is_cheaper = pool.policy.export_seconds < recompute_seconds * (
         1 + pool.policy.recompute_weight
     )
-    return Choice(Way.MOVE, target) if move_is_cheaper else Choice(Way.RESUME)
+    return (
+        EvacuationDecision(EvacuationAction.MOVE, target)
+        if move_is_cheaper
+        else EvacuationDecision(EvacuationAction.RESUME)
+    )
 
 
-def apply_choice(
+def apply_decision(
     pool: Pool,
     req: Request,
-    choice: Choice,
+    decision: EvacuationDecision,
     now: float,
 ) -> list[Effect]:
-    """Change the tables as chosen and return the effects."""
-    if choice.way is Way.FINISH:
+    """Update the pool for the decision and return the effects."""
+    if decision.action is EvacuationAction.FINISH:
         return []
-    if choice.way is Way.RESUME or choice.target is None:
+    if decision.action is EvacuationAction.RESUME or decision.target is None:
         return resume_elsewhere(pool, req)
-    return [move_run(pool, req, choice.target, now)]
+    return [move_run(pool, req, decision.target, now)]
 
 
 def resume_elsewhere(pool: Pool, req: Request) -> list[Effect]:
-    """Stop the run and queue the rest of the request."""
+    """Stop the run and requeue the request to resume from its progress."""
     stop = Stop(req.request_id, req.upstream_id, req.run)
     req.may_have_run = True
     return [stop, requeue(pool, req, RetryReason.UPSTREAM_LEAVING)]
@@ -155,7 +165,7 @@
     target: Upstream,
     now: float,
 ) -> Move:
-    """Occupy a slot of the target and release the one of the source."""
+    """Move a run to the target: occupy a slot there, free the source slot."""
     source_id = req.upstream_id
     req.may_have_run = True
     release(pool, req)
@@ -165,13 +175,13 @@
     req.run += 1
     req.dispatched_at = now
     req.avoid.add(source_id)
-    remember_prefix(pool, req, target.upstream_id, now)
+    record_prefix(pool, req, target.upstream_id, now)
     return Move(req.request_id, source_id, target.upstream_id, req.run)
 
 
 def mark_gone(pool: Pool, upstream_id: str) -> None:
-    """Record that the host is gone, with its cache."""
+    """Record that an upstream and its prefix cache are gone."""
     row = pool.upstreams.get(upstream_id)
     if row is not None:
         row.state = UpstreamState.GONE
-        forget_prefixes(pool, upstream_id)
+        drop_prefixes(pool, upstream_id)
--- a/packages/spanfall-core/src/spanfall_core/selectors.py
+++ b/packages/spanfall-core/src/spanfall_core/selectors.py
@@ -1,6 +1,6 @@
 """Parse and match label selectors.
 
-Terms are joined by commas and must all hold: ``key=value``, ``key!=value``,
+Terms are separated by commas and must all match: ``key=value``, ``key!=value``,
 ``key in (a, b)``, ``key notin (a, b)``, ``key`` (exists), ``!key`` (does not
 exist). An empty selector matches everything. ``!=`` and ``notin`` also match
 objects without the key.
@@ -19,18 +19,18 @@
 _ABSENT = re.compile(rf'!\s*(?P<key>{_WORD})')
 _EQUALITY = re.compile(rf'\s*(?P<op>==|=|!=)\s*(?P<word>{_WORD})')
 _SET = re.compile(r'\s+(?P<op>in|notin)\s*\((?P<words>[^()]*)\)')
-_WORD_ONLY = re.compile(rf'{_WORD}\Z')
+_VALUE_ONLY = re.compile(rf'{_WORD}\Z')
 
 
 @dataclass(frozen=True)
 class SelectorError(Exception):
-    """Tell where a selector cannot be parsed; columns count from one."""
+    """Report where a selector cannot be parsed; columns start at one."""
 
     column: int
     expected: str
 
     def __str__(self) -> str:
-        """Return the place and what was expected there."""
+        """Return the column and what was expected there."""
         return f'column {self.column}: expected {self.expected}'
 
 
@@ -42,7 +42,7 @@
     terms: tuple[Term, ...]
 
     def matches(self, labels: Labels) -> bool:
-        """Tell whether all terms hold for the labels."""
+        """Return whether the labels match all terms."""
         return all(term(labels) for term in self.terms)
 
 
@@ -65,8 +65,8 @@
 
 
 def _skip_space(text: str, position: int) -> int:
-    found = _SPACE.match(text, position)
-    return position if found is None else found.end()
+    space = _SPACE.match(text, position)
+    return position if space is None else space.end()
 
 
 def _parse_term(text: str, position: int) -> tuple[Term, int]:
@@ -78,14 +78,14 @@
         raise SelectorError(position + 1, 'a label key')
     equality = _EQUALITY.match(text, key.end())
     if equality is not None:
-        words = frozenset((equality['word'],))
+        operands = frozenset((equality['word'],))
         is_equal = equality['op'] != '!='
-        return _set_term(key['key'], words, wanted=is_equal), equality.end()
-    listed = _SET.match(text, key.end())
-    if listed is not None:
-        words = _parse_words(listed)
-        is_in = listed['op'] == 'in'
-        return _set_term(key['key'], words, wanted=is_in), listed.end()
+        return _set_term(key['key'], operands, wanted=is_equal), equality.end()
+    set_match = _SET.match(text, key.end())
+    if set_match is not None:
+        operands = _parse_values(set_match)
+        is_in = set_match['op'] == 'in'
+        return _set_term(key['key'], operands, wanted=is_in), set_match.end()
     _check_key_end(text, key.end())
     return _present_term(key['key']), key.end()
 
@@ -96,21 +96,21 @@
         raise SelectorError(after + 1, 'an operator, a comma or the end')
 
 
-def _parse_words(listed: re.Match[str]) -> frozenset[str]:
-    column = listed.start('words')
-    words = []
-    for part in listed['words'].split(','):
-        word = part.strip()
-        if _WORD_ONLY.match(word) is None:
+def _parse_values(set_match: re.Match[str]) -> frozenset[str]:
+    column = set_match.start('words')
+    label_values = []
+    for item in set_match['words'].split(','):
+        label_value = item.strip()
+        if _VALUE_ONLY.match(label_value) is None:
             raise SelectorError(column + 1, 'a label value')
-        words.append(word)
-        column += len(part) + 1
-    return frozenset(words)
+        label_values.append(label_value)
+        column += len(item) + 1
+    return frozenset(label_values)
 
 
-def _set_term(key: str, words: frozenset[str], *, wanted: bool) -> Term:
+def _set_term(key: str, label_values: frozenset[str], *, wanted: bool) -> Term:
     def term(labels: Labels) -> bool:
-        return (labels.get(key) in words) is wanted
+        return (labels.get(key) in label_values) is wanted
 
     return term
 
