--- a/bench/gateway_tables.py
+++ b/bench/gateway_tables.py
@@ -9,7 +9,7 @@
 from spanfall_core.gateway.known.loads import Loads
 from spanfall_core.gateway.known.prefixes import PromptPart
 from spanfall_core.gateway.known.unit_reports import EntrySpending
-from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
+from spanfall_core.gateway.limits.quota_allocator import QuotaAllocator
 from spanfall_core.gateway.routing.balance import PromptHistory, choose
 from spanfall_core.gateway.routing.estimates import RoutingRequest
 from spanfall_core.gateway.routing.grants import (
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/shared_levels.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quota_allocator.py
@@ -19,7 +19,9 @@
 )
 from spanfall_core.gateway.limits.entry_account import EntryAccount
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
-from spanfall_core.gateway.limits.taken_over import PredecessorEstimate
+from spanfall_core.gateway.limits.predecessor_estimate import (
+    PredecessorEstimate,
+)
 
 #: Part of the platform's tolerance that covers the units of silent entries, and
 #: those that entries may spend in addition without a home.
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
@@ -14,7 +14,7 @@
     RECORDED_PART,
     FleetSpending,
 )
-from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
+from spanfall_core.gateway.limits.quota_allocator import QuotaAllocator
 
 from spanfall_node.gateway.net.ports import Write
 from spanfall_node.gateway.store.store_client import StoreClient, StoreError
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -24,8 +24,8 @@
 from spanfall_core.gateway.known.true_time import TrueTime
 from spanfall_core.gateway.known.unit_reports import AllocatedUnits
 from spanfall_core.gateway.known.usage import UsageCounts
+from spanfall_core.gateway.limits.quota_allocator import QuotaAllocator
 from spanfall_core.gateway.limits.quotas import Quotas
-from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 from spanfall_core.gateway.routing.balance import PromptHistory
 from spanfall_core.gateway.routing.grants import EntryLoad, GrantBook
 from spanfall_core.gateway.routing.retry_budget import RetryBudget
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -10,8 +10,8 @@
 from quota_traffic import REQUEST_UNITS
 from spanfall_core.gateway.known.limits import Limit, Tolerance
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
+from spanfall_core.gateway.limits.quota_allocator import QuotaAllocator
 from spanfall_core.gateway.limits.quotas import Quotas
-from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
 
 __all__ = (
     'LIMIT',
--- a/tests/test_gateway_quotas.py
+++ b/tests/test_gateway_quotas.py
@@ -19,11 +19,11 @@
     EntrySpending,
 )
 from spanfall_core.gateway.limits.fleet_spending import FleetSpending
-from spanfall_core.gateway.limits.quotas import DENIAL_BACKOFF_SECONDS, Quotas
-from spanfall_core.gateway.limits.shared_levels import (
+from spanfall_core.gateway.limits.quota_allocator import (
     SILENCE_CHECK_SECONDS,
     QuotaAllocator,
 )
+from spanfall_core.gateway.limits.quotas import DENIAL_BACKOFF_SECONDS, Quotas
 
 ENTRIES = 9
 #: Seconds after which no spending before the start is assumed any more.
--- a/tests/test_gateway_reporting.py
+++ b/tests/test_gateway_reporting.py
@@ -22,7 +22,7 @@
     silent_after,
 )
 from spanfall_core.gateway.known.unit_reports import EntrySpending
-from spanfall_core.gateway.limits.shared_levels import QuotaAllocator
+from spanfall_core.gateway.limits.quota_allocator import QuotaAllocator
 from spanfall_core.gateway.routing.grants import EntryLoad, GrantBook
 from spanfall_node.gateway.store.sync import max_confirmation_age
 
