--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -280,14 +280,14 @@
         allocate units.
         """
         state = self._state
-        shared_levels = await self._records.spending.read()
+        quota_allocator = await self._records.spending.read()
         state.needs = await self._records.needs.read()
         await self._records.crashes.read()
         claim = await self._claim(known_revision)
         if claim is None:
             state.lookup_requested.set()
             return
-        state.shared_levels = shared_levels
+        state.quota_allocator = quota_allocator
         gives_at = state.timers.now() + allocation_delay
         if claim.is_first_since_restore:
             # The restored store has lost the lease of a home that may still
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/state.py
@@ -71,7 +71,7 @@
     fleet: FleetState = field(default_factory=FleetState)
     crashes: CrashState = field(default_factory=CrashState)
     effective_limits: EffectiveLimits = field(default_factory=EffectiveLimits)
-    shared_levels: QuotaAllocator = field(default_factory=QuotaAllocator)
+    quota_allocator: QuotaAllocator = field(default_factory=QuotaAllocator)
     #: On the home: running requests of the whole fleet.
     grant_book: GrantBook = field(default_factory=GrantBook)
     home: HomeRecord | None = None
@@ -167,7 +167,7 @@
     def apply_report(self, report: EntryReport, now: float) -> None:
         """Apply the report of an entry, as the home."""
         self.fleet.apply_report(report, now)
-        self.shared_levels.apply_report(
+        self.quota_allocator.apply_report(
             report.key,
             report.spending,
             self.limits_at(now),
@@ -177,7 +177,7 @@
 
     def own_report(self) -> EntryReport:
         """Return the report of this node to itself as the home."""
-        is_known = self.shared_levels.has_reported(self.entry_key)
+        is_known = self.quota_allocator.has_reported(self.entry_key)
         return self.report(to_new_home=not is_known)
 
     def allocate_units(self, entry: str, now: float) -> AllocatedUnits | None:
@@ -188,7 +188,7 @@
         """
         if not can_allocate(self.tenure, now):
             return None
-        return self.shared_levels.allocate(entry, self.limits_at(now), now)
+        return self.quota_allocator.allocate(entry, self.limits_at(now), now)
 
     def lend_units(
         self,
@@ -201,7 +201,7 @@
         if not can_allocate(self.tenure, now):
             return 0
         limits = self.limits_at(now)
-        return self.shared_levels.lend(entry, workspace, units, limits, now)
+        return self.quota_allocator.lend(entry, workspace, units, limits, now)
 
     def apply_given(
         self,
@@ -254,7 +254,7 @@
 
     def spending_to_record(self, now: float) -> dict[str, list[float]]:
         """Return the spending of workspaces with high usage, to be recorded."""
-        return self.shared_levels.spending_to_record(self.limits_at(now), now)
+        return self.quota_allocator.spending_to_record(self.limits_at(now), now)
 
     def limits_at(self, now: float) -> dict[str, Limit]:
         """Return the limits of workspaces that apply now."""
