--- a/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/limits/unit_requests.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from spanfall_node.gateway.links.messages import UnitsMessage, UnitsRequest
-from spanfall_node.gateway.links.questions import PendingRequests, Send
+from spanfall_node.gateway.links.pending_requests import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 
 #: Timeout for the home's answer in seconds: half of the maximum admission wait
@@ -26,15 +26,15 @@
     """Request units over the entry's link to the home."""
 
     state: GatewayState
-    _questions: PendingRequests[float] = field(default_factory=PendingRequests)
+    _pending: PendingRequests[float] = field(default_factory=PendingRequests)
 
     def connect(self, send: Send) -> None:
         """Send requests over this link from now on."""
-        self._questions.connect(send)
+        self._pending.connect(send)
 
     def disconnect(self) -> None:
         """End pending requests and send none until another link connects."""
-        self._questions.disconnect()
+        self._pending.disconnect()
 
     def accept_answer(self, message: UnitsMessage) -> None:
         """Record the units that the home lent.
@@ -46,7 +46,7 @@
         state = self.state
         now = state.timers.now()
         state.quotas.apply_lent(message.workspace, message.units, now)
-        self._questions.resolve(message.number, message.units)
+        self._pending.resolve(message.number, message.units)
 
     async def obtain(self, workspace: str, units: float) -> bool:
         """Request the units that are missing; return whether the home lent any."""
@@ -70,7 +70,7 @@
             lent = state.lend_units(state.entry_key, workspace, missing, now)
             state.quotas.apply_lent(workspace, lent, now)
             return LENT if lent else NONE_LEFT
-        question = await self._questions.ask(
+        question = await self._pending.ask(
             lambda number: UnitsRequest(
                 state.entry_key,
                 number,
--- a/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/upstreams/grants.py
@@ -19,7 +19,7 @@
     GrantRequest,
     GrantRequestMessage,
 )
-from spanfall_node.gateway.links.questions import PendingRequests, Send
+from spanfall_node.gateway.links.pending_requests import PendingRequests, Send
 from spanfall_node.gateway.tables.state import GatewayState
 from spanfall_node.gateway.upstreams.granting import (
     NO_HOME_RETRY_SECONDS,
@@ -52,26 +52,26 @@
     """Choose upstreams with the home's grants or, without a home, locally."""
 
     state: GatewayState
-    _questions: PendingRequests[GrantMessage] = field(
+    _pending: PendingRequests[GrantMessage] = field(
         default_factory=PendingRequests
     )
     _local_until: float = 0
 
     def connect(self, send: Send) -> None:
         """Request grants over this link from now on."""
-        self._questions.connect(send)
+        self._pending.connect(send)
 
     def disconnect(self) -> None:
         """Decide locally until another link connects."""
-        self._questions.disconnect()
+        self._pending.disconnect()
 
     def accept_answer(self, answer: GrantMessage) -> None:
         """Resolve a pending request; a late answer is ignored."""
-        self._questions.resolve(answer.number, answer)
+        self._pending.resolve(answer.number, answer)
 
     def load(self) -> EntryLoad:
         """Return the local load and the last grant number that it includes."""
-        return self.state.own_load(self._questions.last_settled)
+        return self.state.own_load(self._pending.last_settled)
 
     async def choose(
         self,
@@ -91,7 +91,7 @@
             return self._accept_grant(
                 decide_grant(state, state.entry_key, 0, request)
             )
-        can_ask = self._questions.is_connected
+        can_ask = self._pending.is_connected
         if can_ask and state.timers.now() >= self._local_until:
             choice = await self._request_grant(service, routing_request)
             if choice is not None:
@@ -107,7 +107,7 @@
     ) -> ChoiceOutcome:
         state = self.state
         request = GrantRequest(service, routing_request)
-        question = await self._questions.ask(
+        question = await self._pending.ask(
             lambda number: GrantRequestMessage(
                 state.entry_key,
                 number,
