--- a/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/client.py
@@ -126,7 +126,7 @@
             await self.send(call, host)
         except BrokenCallError as exc:
             logger.info(
-                'Request to %s was not sent completely: %s', self.address, exc
+                'Did not send the whole request to %s: %s', self.address, exc
             )
 
     async def read_head(
