--- a/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/leadership.py
@@ -2,7 +2,7 @@
 
 The revision of the record is the home's epoch and the fencing token of its
 calls. A holder acts only while its lease is certain to be valid, counted from
-before the renewal was sent. A store that was restored from a copy has lost
+before the renewal was sent. A store that was restored from a backup has lost
 the record and the lease, so each timeline has a record of its own.
 """
 
--- a/packages/spanfall-standins/src/spanfall_standins/gateway/store.py
+++ b/packages/spanfall-standins/src/spanfall_standins/gateway/store.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """Represent a snapshot of the store."""
+    """Represent a backup of the store."""
 
     items: dict[str, PlainItem]
     leases: dict[int, tuple[float, float]]
@@ -34,7 +34,7 @@
     items: dict[str, PlainItem] = field(default_factory=dict)
     leases: dict[int, tuple[float, float]] = field(default_factory=dict)
     revision: int = 0
-    #: Incremented each time the store is restored from a snapshot.
+    #: Incremented each time the store is restored from a backup.
     timeline: int = 0
     #: HTTP status returned for every call instead of serving it; 0: disabled.
     error_status: int = 0
@@ -68,11 +68,11 @@
         return encode_response(status, body, headers)
 
     def copy(self) -> StoreCopy:
-        """Return a snapshot of the store."""
+        """Return a backup of the store."""
         return deepcopy(StoreCopy(self.items, self.leases, self.revision))
 
     def restore(self, copy: StoreCopy) -> None:
-        """Restore a snapshot; writes made since are lost."""
+        """Restore a backup; writes made since are lost."""
         restored = deepcopy(copy)
         self.items = restored.items
         self.leases = restored.leases
