--- a/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/home/entry_link.py
@@ -73,13 +73,13 @@
         units: UnitClient,
         watch: CrashDetector,
     ) -> None:
-        """Use the state of the node, its sync and its requesters."""
+        """Use the state of the node, its sync and its request clients."""
         self._state = state
         self._sync = sync
         self._grants = grants
         self._units = units
         #: Components that send messages about single requests to the home.
-        self._requesters = (grants, units, watch)
+        self._request_clients = (grants, units, watch)
         self._tables: list[TableMessage] = []
         self._table_received = anyio.Event()
         #: Set when a home that cannot reach the store asks whether this node
@@ -117,8 +117,8 @@
         try:
             await self._run_link(link)
         finally:
-            for requester in self._requesters:
-                requester.disconnect()
+            for request_client in self._request_clients:
+                request_client.disconnect()
             link.transport.abort()
 
     async def _connect(self, address: str) -> ClientConnection:
@@ -177,8 +177,8 @@
                 logger.info('Could not send a message to the home: %r', exc)
 
         await ask(self._state.crashes.report(self._state.timers.now()))
-        for requester in self._requesters:
-            requester.connect(ask)
+        for request_client in self._request_clients:
+            request_client.connect(ask)
         self._reconnect.last_home = self._state.home
         epoch = self._state.home.epoch
         while self._is_home_still(epoch):
