--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/permits.py
@@ -25,7 +25,7 @@
 MAX_WAIT_SECONDS = 5.0
 #: Part of a permit that may be missing because of rounding errors.
 ROUNDING_TOLERANCE = 1e-6
-#: Minimum seconds until the next check for permits: the monotonic clock of a
+#: Minimum seconds until the next check for permits: the steady clock of a
 #: host with a long uptime cannot represent shorter steps.
 MIN_RECHECK_SECONDS = 0.001
 
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/predecessor_estimate.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/predecessor_estimate.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class PredecessorEstimate:
-    """Collect what entries report of the term of the previous home."""
+    """Collect what entries report of the previous home's tenure."""
 
     started_at: float
     #: Entries that shared the limits under the previous home; 0: unknown.
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quota_allocator.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quota_allocator.py
@@ -43,7 +43,8 @@
 
     total: float
     spent: float
-    #: Units that live entries may hold, and may spend in addition standalone.
+    #: Units that live entries may hold, and those they may spend in addition
+    #: without a home.
     held: float
     beyond: float
     #: Units that silent and missing entries may still spend.
@@ -79,7 +80,7 @@
     tolerance: Tolerance = field(default_factory=Tolerance)
     spending: FleetSpending = field(default_factory=FleetSpending)
     _entries: dict[str, EntryAccount] = field(default_factory=dict)
-    #: Sums over live entries: units held, and allowed in addition standalone.
+    #: Sums over live entries: units held, and allowed without a home.
     _held: defaultdict[str, float] = field(default_factory=_sums)
     _beyond: defaultdict[str, float] = field(default_factory=_sums)
     _silent: dict[str, EntryAccount] = field(default_factory=dict)
@@ -111,7 +112,7 @@
         self.spending.count_returned(account.returned, 1)
 
     def has_reported(self, entry: str) -> bool:
-        """Tell whether an entry has reported in this term as the home."""
+        """Tell whether an entry has reported in this tenure as the home."""
         return entry in self._entries
 
     def allocate(
@@ -198,7 +199,7 @@
         limits: Limits,
         now: float,
     ) -> EntryAccount:
-        """Add an entry at its first report in this term as the home."""
+        """Add an entry at its first report in this tenure as the home."""
         node = entry.partition('/')[0]
         self._remove_dead(node, now)
         if self._predecessor is None:
--- a/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
+++ b/packages/spanfall-core/src/spanfall_core/gateway/limits/quotas.py
@@ -39,7 +39,8 @@
 class Allocation:
     """Hold the units of a workspace that this entry may spend."""
 
-    #: Units given by the home, less spending since; None: standalone.
+    #: Units given by the home, less spending since. None: the entry
+    #: is standalone, that is without a home.
     given: float | None = None
     #: Units of the last allocation, to detect that they are running out.
     last_given: float = 0
--- a/packages/spanfall-node/src/spanfall_node/gateway/net/logs.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/net/logs.py
@@ -23,7 +23,7 @@
         lines_per_second: int,
         dropped: Counter,
     ) -> None:
-        """Count lines per second of a monotonic clock."""
+        """Count lines per second of a steady clock."""
         super().__init__()
         self._clock = clock
         self._max_lines = lines_per_second
--- a/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/requests/admission.py
@@ -49,7 +49,7 @@
     #: Units spent from the workspace's quota.
     units: float
     began_at: float
-    #: Monotonic time by which the response must be complete.
+    #: Time of the steady clock by which the response must be complete.
     deadline: float
     #: Whether the request was counted for the usage report.
     counted: bool = False
--- a/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/store/quota_record.py
@@ -71,7 +71,7 @@
             return QuotaAllocator(tolerance)
         record = decode_record(item, SpendingRecord)
         if record is None:
-            # A new home then assumes only its minimum spending.
+            # Instead of the record, the new home assumes the minimum spending.
             record = SpendingRecord({})
         self._written = _sums(record.spent)
         return QuotaAllocator(tolerance, FleetSpending(record.spent))
--- a/packages/spanfall-node/src/spanfall_node/gateway/tables/tenure.py
+++ b/packages/spanfall-node/src/spanfall_node/gateway/tables/tenure.py
@@ -21,7 +21,7 @@
     #: Revision of the home record with its timeline: the fencing token.
     epoch: int
     lease: int
-    #: Monotonic time until which the lease is certainly valid.
+    #: Time of the steady clock until which the lease is certainly valid.
     valid_until: float
     #: Time at which the last successful renewal was sent.
     renewed_at: float
